--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -5,13 +5,13 @@
 use cactusnotch_telemetry::metric;
 
 use crate::journal::millis;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::refusal::Refusal;
 use crate::request::Call;
 
 /// Writes the line that explains how a request ended.
 pub(crate) fn ended(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     call: &Call,
     tried: &[name::Endpoint],
     status: u16,
@@ -26,7 +26,7 @@
         version = call.version,
         patience_ms = call.head.patience.map(millis),
         returned = call.has_returned,
-        key_age_ms = knowledge.freshness.borrow().age(now).map(millis),
+        key_age_ms = shared.freshness.borrow().age(now).map(millis),
         endpoint = tried.last().map(name::Endpoint::as_str),
         sends = tried.len(),
         resumed,
@@ -41,10 +41,10 @@
 }
 
 /// Writes the line that explains why a request was refused before an endpoint was chosen.
-pub(crate) fn refused(knowledge: &Knowledge, id: Option<&str>, refusal: Refusal, arrived: Instant) {
+pub(crate) fn refused(shared: &SharedState, id: Option<&str>, refusal: Refusal, arrived: Instant) {
     let now = clock::now();
-    let age = knowledge.freshness.borrow().age(now);
-    let version = knowledge.configuration().map(|c| c.version);
+    let age = shared.freshness.borrow().age(now);
+    let version = shared.configuration().map(|c| c.version);
     tracing::info!(
         id,
         version,
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -29,7 +29,7 @@
     /// Its rank, which goes before that of a route; lower ones go first.
     pub priority: Option<u32>,
     /// The regions whose endpoints may get its requests, none for all regions.
-    pub homes: Vec<String>,
+    pub allowed_regions: Vec<String>,
 }
 
 /// The size of a group's expert maps and what a move costs.
@@ -103,7 +103,7 @@
     organisations: Vec<Organisation>,
     /// Keys with the position of their organisation, sorted by key.
     keys: Vec<(String, usize)>,
-    closed: bool,
+    requires_keys: bool,
 }
 
 /// What a configuration is built from.
@@ -136,9 +136,9 @@
         services.sort_by(|a, b| a.name.cmp(&b.name));
         let pauses = services
             .iter()
-            .map(|service| least_pause(&routes, &service.name))
+            .map(|service| shortest_pause(&routes, &service.name))
             .collect();
-        let closed = organisations.is_some();
+        let requires_keys = organisations.is_some();
         let mut names = Vec::new();
         let mut keys = Vec::new();
         for (organisation, own) in organisations.unwrap_or_default() {
@@ -154,7 +154,7 @@
             pauses,
             organisations: names,
             keys,
-            closed,
+            requires_keys,
         }
     }
 
@@ -180,13 +180,16 @@
 
     /// Returns the regions of all routes of a host that are bound to some, `None` if none is.
     #[must_use]
-    pub fn homes(&self, host: &str) -> Option<Vec<&str>> {
+    pub fn allowed_regions(&self, host: &str) -> Option<Vec<&str>> {
         let first = self
             .routes
             .partition_point(|route| route.host.as_str() < host);
         let of_host = self.routes[first..].iter().take_while(|r| r.host == host);
-        let homes: Vec<_> = of_host.flat_map(|r| &r.homes).map(String::as_str).collect();
-        (!homes.is_empty()).then_some(homes)
+        let allowed: Vec<_> = of_host
+            .flat_map(|r| &r.allowed_regions)
+            .map(String::as_str)
+            .collect();
+        (!allowed.is_empty()).then_some(allowed)
     }
 
     /// Returns all routes in order of host and prefix.
@@ -233,12 +236,12 @@
     /// Tells whether requests on `route` need a key.
     #[must_use]
     pub const fn needs_key(&self, route: &Route) -> bool {
-        self.closed && !route.anonymous
+        self.requires_keys && !route.anonymous
     }
 }
 
 /// Returns the shortest of the longest pauses that routes to a service state.
-fn least_pause(routes: &[Route], service: &str) -> Option<Duration> {
+fn shortest_pause(routes: &[Route], service: &str) -> Option<Duration> {
     let leads = |route: &&Route| route.backends.iter().any(|b| b.service == service);
     routes
         .iter()
--- a/crates/gateway/src/handout.rs
+++ b/crates/gateway/src/configuration_cache.rs
@@ -13,15 +13,15 @@
 use http_body_util::Full;
 use tokio::net::TcpListener;
 
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::server;
 use crate::store::Codec;
 
 /// The store's last answer that held a configuration.
 #[derive(Debug, Default)]
-pub(crate) struct Handout(RefCell<Option<(Era, Bytes)>>);
+pub(crate) struct ConfigurationCache(RefCell<Option<(Era, Bytes)>>);
 
-impl Handout {
+impl ConfigurationCache {
     /// Takes a newer answer, which was given in `era`.
     pub(crate) fn set(&self, era: Era, body: Bytes) {
         *self.0.borrow_mut() = Some((era, body));
@@ -34,16 +34,16 @@
             return response;
         };
         let mut response = Response::new(Full::new(body));
-        C::state_era(era, response.headers_mut());
+        C::write_era(era, response.headers_mut());
         response
     }
 }
 
 /// Hands the newest configuration out for as long as the process lives.
-pub(crate) async fn run<C: Codec>(knowledge: Rc<Knowledge>, listener: TcpListener) {
+pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>, listener: TcpListener) {
     server::accept(listener, |stream| {
-        let knowledge = Rc::clone(&knowledge);
-        server::answer(stream, move |_| knowledge.handout.response::<C>())
+        let shared = Rc::clone(&shared);
+        server::answer(stream, move |_| shared.configuration_cache.response::<C>())
     })
     .await;
 }
--- a/crates/gateway/src/proof.rs
+++ b/crates/gateway/src/confirmation.rs
@@ -22,7 +22,7 @@
 
 impl Shown {
     /// Takes that the store has shown `version` in `era`.
-    pub const fn take(&mut self, era: Era, version: u64) {
+    pub const fn record(&mut self, era: Era, version: u64) {
         if era.0 > self.era.0 {
             *self = Self { era, version };
         } else if era.0 == self.era.0 && version > self.version {
@@ -34,7 +34,7 @@
     /// what was shown, proves that the `known` version was the newest one then. `young_since`
     /// tells since when the store has been in this era, if it may have lost something with it.
     #[must_use]
-    pub fn proves(
+    pub fn confirms(
         &self,
         known: u64,
         era: Era,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -12,7 +12,7 @@
 use crate::configuration::Limits;
 use crate::dialect::Dialect;
 use crate::flight;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 
 /// The least buffer that the library takes.
 const BUFFER_MIN: usize = 8 * 1024;
@@ -20,14 +20,14 @@
 /// Serves a caller's connection until it ends; `closing` asks for its end
 /// after the request under way.
 pub(crate) async fn serve<D: Dialect>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     stream: TcpStream,
     limits: Option<Limits>,
     mut closing: watch::Receiver<bool>,
 ) {
     let service = service_fn(|request| {
-        let knowledge = Rc::clone(&knowledge);
-        async move { Ok::<_, Infallible>(flight::answer::<D>(knowledge, request).await) }
+        let shared = Rc::clone(&shared);
+        async move { Ok::<_, Infallible>(flight::answer::<D>(shared, request).await) }
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new());
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -9,7 +9,7 @@
 use cactusnotch_telemetry::metric;
 
 use crate::content::Content;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::quarantine;
 use crate::request::Call;
 use crate::tcp;
@@ -28,15 +28,15 @@
 
 /// Finds out whether the endpoint has ended, as opposed to its connection, and remembers
 /// that of the request. Its caller may leave meanwhile.
-pub(crate) async fn examine(knowledge: &Rc<Knowledge>, call: &Call, cut: Cut) {
-    let (knowledge, content) = (Rc::clone(knowledge), call.content());
-    let examined = tokio::task::spawn_local(examine_one(knowledge, content, cut));
+pub(crate) async fn examine(shared: &Rc<SharedState>, call: &Call, cut: Cut) {
+    let (shared, content) = (Rc::clone(shared), call.content());
+    let examined = tokio::task::spawn_local(examine_one(shared, content, cut));
     if let Err(error) = examined.await {
         tracing::error!(%content, %error, "an endpoint's end was not examined");
     }
 }
 
-async fn examine_one(knowledge: Rc<Knowledge>, content: Content, cut: Cut) {
+async fn examine_one(shared: Rc<SharedState>, content: Content, cut: Cut) {
     let at = clock::now();
     let Err(error) = tcp::connect(cut.address, PROBE_TIMEOUT).await else {
         return;
@@ -52,5 +52,5 @@
         sent: cut.sent,
         at,
     };
-    knowledge.note_crash(content, &crash, clock::now());
+    shared.note_crash(content, &crash, clock::now());
 }
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -7,7 +7,7 @@
 
 /// When an endpoint started, in Unix milliseconds of its own clock.
 #[number]
-pub struct Born(pub u64);
+pub struct StartTime(pub u64);
 
 /// An endpoint as it registered itself.
 #[message]
@@ -19,7 +19,7 @@
     /// nothing of before.
     pub instance: String,
     /// When it started, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The service that it belongs to.
     pub service: String,
     /// Where it takes requests.
@@ -50,7 +50,7 @@
     /// Tells whether this is known to leave though the `copy` that the store came back from
     /// doesn't say so: it was made before.
     #[must_use]
-    pub fn leaves_beyond(&self, copy: &Self) -> bool {
+    pub fn stays_leaving(&self, copy: &Self) -> bool {
         self.leaving && self.registered.era() < copy.registered.era()
     }
 
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -12,10 +12,12 @@
 use tokio::task::LocalSet;
 
 use crate::dialect::Dialect;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::options::Options;
 use crate::store::{Codec, Kind};
-use crate::{handout, listing, record, registration, reload, renewal, server, stop, tcp, watcher};
+use crate::{
+    configuration_cache, listing, record, registration, reload, renewal, server, stop, tcp, watcher,
+};
 
 /// Why an entry can't start or go on.
 #[derive(Debug, Display, Error)]
@@ -74,21 +76,21 @@
         let runtime = runtime.map_err(setup("runtime"))?;
         let local = LocalSet::new();
         local.block_on(&runtime, async {
-            let (knowledge, socket, closing) = self.start().await?;
-            let reloading = reload::run(Rc::clone(&knowledge), read);
+            let (shared, socket, closing) = self.start().await?;
+            let reloading = reload::run(Rc::clone(&shared), read);
             tokio::task::spawn_local(async move {
                 if let Err(error) = reloading.await {
                     tracing::error!(%error, "settings are not reloaded");
                 }
             });
-            stop::run::<C>(knowledge, socket, closing)
+            stop::run::<C>(shared, socket, closing)
                 .await
                 .map_err(setup("signals"))
         })
     }
 
     /// Starts all tasks.
-    async fn start(self) -> Result<(Rc<Knowledge>, Rc<UdpSocket>, watch::Sender<bool>), Error> {
+    async fn start(self) -> Result<(Rc<SharedState>, Rc<UdpSocket>, watch::Sender<bool>), Error> {
         let listen =
             |address| tcp::listen(address).map_err(|error| Error::Listen { address, error });
         let Options {
@@ -114,26 +116,26 @@
             })?;
         let socket = Rc::new(socket);
         tracing::info!(host = self.options.host, data_centre = self.options.data_centre, listen = %front, "entry started");
-        let knowledge = Rc::new(Knowledge::new(self.options));
+        let shared = Rc::new(SharedState::new(self.options));
         let (closing, closed) = watch::channel(false);
-        let followed = knowledge.options().evacuation.map(|_| Kind::Evacuations);
+        let followed = shared.options().evacuation.map(|_| Kind::Evacuations);
         for kind in [Kind::Configuration, Kind::Endpoints]
             .into_iter()
             .chain(followed)
         {
-            let (knowledge, socket) = (Rc::clone(&knowledge), Rc::clone(&socket));
-            tokio::task::spawn_local(watcher::run::<C>(knowledge, socket, kind));
+            let (shared, socket) = (Rc::clone(&shared), Rc::clone(&socket));
+            tokio::task::spawn_local(watcher::run::<C>(shared, socket, kind));
         }
-        tokio::task::spawn_local(renewal::run::<C>(Rc::clone(&knowledge)));
-        tokio::task::spawn_local(registration::list::<C>(Rc::clone(&knowledge)));
-        tokio::task::spawn_local(registration::run::<C>(Rc::clone(&knowledge)));
-        tokio::task::spawn_local(record::run::<C>(Rc::clone(&knowledge)));
-        tokio::task::spawn_local(server::callers::<D>(Rc::clone(&knowledge), callers, closed));
-        tokio::task::spawn_local(server::questions::<D>(Rc::clone(&knowledge), readiness));
-        tokio::task::spawn_local(server::questions::<D>(Rc::clone(&knowledge), directory));
+        tokio::task::spawn_local(renewal::run::<C>(Rc::clone(&shared)));
+        tokio::task::spawn_local(registration::list::<C>(Rc::clone(&shared)));
+        tokio::task::spawn_local(registration::run::<C>(Rc::clone(&shared)));
+        tokio::task::spawn_local(record::run::<C>(Rc::clone(&shared)));
+        tokio::task::spawn_local(server::callers::<D>(Rc::clone(&shared), callers, closed));
+        tokio::task::spawn_local(server::questions::<D>(Rc::clone(&shared), readiness));
+        tokio::task::spawn_local(server::questions::<D>(Rc::clone(&shared), directory));
         tokio::task::spawn_local(server::metrics(self.exporter, metrics));
-        tokio::task::spawn_local(handout::run::<C>(Rc::clone(&knowledge), handouts));
-        tokio::task::spawn_local(listing::run(Rc::clone(&knowledge), Rc::clone(&socket)));
-        Ok((knowledge, socket, closing))
+        tokio::task::spawn_local(configuration_cache::run::<C>(Rc::clone(&shared), handouts));
+        tokio::task::spawn_local(listing::run(Rc::clone(&shared), Rc::clone(&socket)));
+        Ok((shared, socket, closing))
     }
 }
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -23,7 +23,7 @@
 
 /// What one entry tells others.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Word {
+pub struct Report {
     /// The position at which the state was read.
     pub position: Position,
     /// The data centres that are evacuated.
@@ -88,15 +88,15 @@
 
     /// Takes what another entry tells, which was confirmed at `confirmed` if that is known.
     /// Of another era it says nothing here.
-    pub fn hear(&mut self, word: &Word, confirmed: Option<Instant>) {
+    pub fn apply_report(&mut self, report: &Report, confirmed: Option<Instant>) {
         let is_comparable = self
             .position
-            .is_none_or(|known| known.era() == word.position.era());
-        let is_older = self.position.is_some_and(|known| word.position < known);
+            .is_none_or(|known| known.era() == report.position.era());
+        let is_older = self.position.is_some_and(|known| report.position < known);
         if !is_comparable || is_older {
             return;
         }
-        self.replace(&word.data_centres, word.position, None);
+        self.replace(&report.data_centres, report.position, None);
         self.confirmed = self.confirmed.max(confirmed);
     }
 
@@ -108,10 +108,10 @@
 
     /// Returns what other entries need to know.
     #[must_use]
-    pub fn word(&self) -> Option<Word> {
+    pub fn report(&self) -> Option<Report> {
         // What the store may have lost is each entry's own to keep.
         let firm = self.rows.iter().filter(|(_, until)| until.is_none());
-        Some(Word {
+        Some(Report {
             position: self.position?,
             data_centres: firm.map(|(name, _)| name.clone()).collect(),
         })
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -17,9 +17,9 @@
 use crate::decide::{Course, Failure};
 use crate::dialect::Dialect;
 use crate::endpoint::Endpoint;
-use crate::fleet::Wish;
+use crate::fleet::Criteria;
 use crate::journal::millis;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::pool::{self, Kept, Lease, Reuse};
 use crate::request::Call;
 use crate::route::Repeat;
@@ -60,27 +60,27 @@
 
 /// Chooses an endpoint and counts the request there.
 pub(crate) fn choose(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     now: Instant,
 ) -> Result<(Endpoint, Running), Unserved> {
     let service = &call.judged.service;
-    let homes = call.judged.homes.as_ref();
-    let within = homes.map(|homes| knowledge.options().regions.data_centres(homes));
-    let wish = Wish {
+    let homes = call.judged.allowed_regions.as_ref();
+    let within = homes.map(|homes| shared.options().regions.data_centres(homes));
+    let criteria = Criteria {
         tokens: call.head.prompt_tokens,
         tried,
         may_probe: call.judged.route.repeat == Repeat::Idempotent,
         within: within.as_deref(),
     };
-    if knowledge.holds(call, now).is_some() {
+    if shared.quarantined_for(call, now).is_some() {
         return Err(Unserved::Held);
     }
-    knowledge.drop_missing(now);
-    let mut fleet = knowledge.fleet.borrow_mut();
-    let mut rng = knowledge.rng.borrow_mut();
-    let chosen = fleet.start(service, &wish, now, &mut rng);
+    shared.drop_missing(now);
+    let mut fleet = shared.fleet.borrow_mut();
+    let mut rng = shared.rng.borrow_mut();
+    let chosen = fleet.start(service, &criteria, now, &mut rng);
     let (choice, attempt) = chosen.map_err(Unserved::None)?;
     let endpoint = fleet.get(choice.endpoint.as_str()).cloned();
     drop(fleet);
@@ -88,9 +88,9 @@
     let Some(endpoint) = endpoint else {
         return Err(Unserved::None(choice::Error::Unknown));
     };
-    let forecast = forecast(knowledge, &choice, now);
+    let forecast = forecast(shared, &choice, now);
     let running = Running {
-        knowledge: Rc::clone(knowledge),
+        shared: Rc::clone(shared),
         id: call.head.id.clone(),
         service: service.clone(),
         address: endpoint.address,
@@ -102,7 +102,7 @@
         first: None,
     };
     // What has been sent once is not worth less by now.
-    let admitted = !tried.is_empty() || admits(knowledge, call, &forecast, now);
+    let admitted = !tried.is_empty() || admits(shared, call, &forecast, now);
     if admitted {
         Ok((endpoint, running))
     } else {
@@ -113,23 +113,23 @@
 /// Tells whether an endpoint that was not tried has a free slot for a request, and
 /// sending it there can be paid for.
 pub(crate) fn may_move(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     now: Instant,
 ) -> bool {
     let service = &call.judged.service;
-    if !knowledge.budgets.borrow_mut().affords(service, now) {
+    if !shared.budgets.borrow_mut().affords(service, now) {
         return false;
     }
-    let chosen = choose(knowledge, call, tried, now);
+    let chosen = choose(shared, call, tried, now);
     chosen.is_ok_and(|(_, running)| !running.forecast.full)
 }
 
 /// Waits until a request should go on elsewhere: nothing has come for a while, its
 /// endpoint is lost, and another one has room.
 pub(crate) async fn lost(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     endpoint: &name::Endpoint,
@@ -137,8 +137,8 @@
     tokio::time::sleep(STALLED).await;
     loop {
         let now = clock::now();
-        let lost = knowledge.fleet.borrow().is_lost(endpoint.as_str(), now);
-        if lost && may_move(knowledge, call, tried, now) {
+        let lost = shared.fleet.borrow().is_lost(endpoint.as_str(), now);
+        if lost && may_move(shared, call, tried, now) {
             return;
         }
         tokio::time::sleep(LOOK_AGAIN).await;
@@ -146,24 +146,24 @@
 }
 
 /// Returns what a request has to expect at the endpoint that was chosen.
-fn forecast(knowledge: &Knowledge, choice: &choice::Choice, now: Instant) -> Forecast {
+fn forecast(shared: &SharedState, choice: &choice::Choice, now: Instant) -> Forecast {
     Forecast {
         full: choice.reason == choice::Reason::Full,
         wait: choice.wait,
         fill: choice.fill,
         first: choice.predicted,
-        pass: knowledge.fleet.borrow().pass(choice.endpoint.as_str(), now),
+        pass: shared.fleet.borrow().pass(choice.endpoint.as_str(), now),
     }
 }
 
 /// Tells whether a request is let in.
-fn admits(knowledge: &Knowledge, call: &Call, forecast: &Forecast, now: Instant) -> bool {
+fn admits(shared: &SharedState, call: &Call, forecast: &Forecast, now: Instant) -> bool {
     let route = &call.judged.route;
     let terms = Terms {
         target: route.target,
         pause: route.pause,
     };
-    let draw = knowledge.rng.borrow_mut().random();
+    let draw = shared.rng.borrow_mut().random();
     admission::admits(call.caller(now), forecast, &terms, draw)
 }
 
@@ -176,7 +176,7 @@
 
 /// Sends the request to `endpoint` and waits for the head of its answer.
 pub(crate) async fn send<D: Dialect>(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     course: &mut Course,
     endpoint: &Endpoint,
@@ -184,11 +184,11 @@
     last_event: Option<u64>,
 ) -> Result<Reply, Failed> {
     let first = course.sent() == 0;
-    let mut lease = connect(knowledge, call, endpoint, first, &mut running).await?;
+    let mut lease = connect(shared, call, endpoint, first, &mut running).await?;
     let now = clock::now();
-    let admitted = knowledge.fleet.borrow_mut().admit(endpoint, now);
-    if let Err(barred) = admitted {
-        return Err(Failed::new(Failure::Unsent, &barred.to_string()));
+    let admitted = shared.fleet.borrow_mut().admit(endpoint, now);
+    if let Err(exclusion) = admitted {
+        return Err(Failed::new(Failure::Unsent, &exclusion.to_string()));
     }
     let request = call.outgoing::<D>(endpoint, last_event, now);
     course.send();
@@ -204,7 +204,7 @@
 }
 
 async fn connect(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     endpoint: &Endpoint,
     first: bool,
@@ -217,8 +217,8 @@
         Repeat::Idempotent | Repeat::Resume if first => Reuse::Allowed,
         Repeat::Never | Repeat::Idempotent | Repeat::Resume => Reuse::Never,
     };
-    let most = knowledge.connections(&endpoint.service);
-    let pool = knowledge.pool.clone();
+    let most = shared.connections(&endpoint.service);
+    let pool = shared.pool.clone();
     pool.take(endpoint, most, reuse, clock::now())
         .await
         .map_err(|error| match error {
@@ -242,8 +242,8 @@
     let verdict = D::verdict(&head.headers, head.status, call.head.id.as_deref());
     let sent = running.sent;
     running
-        .knowledge
-        .take_statement(endpoint, &verdict, sent, clock::now());
+        .shared
+        .apply_statement(endpoint, &verdict, sent, clock::now());
     if verdict.refused && !verdict.foreign {
         let cause = match verdict.statement.rest {
             Stated::Value(rest) => format!(
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,15 +1,15 @@
 //! The endpoints that an entry knows, and the choice among them.
 
-mod barrier;
 mod cold;
-mod departed;
-mod farewells;
+mod criteria;
+mod exclusion;
+mod leaving_notices;
 mod lives;
 mod options;
 mod row;
 mod sharing;
 mod statements;
-mod wish;
+mod terminated;
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,12 +21,12 @@
 };
 use rand::rngs::SmallRng;
 
-pub(crate) use self::barrier::Barrier;
-use self::departed::Departed;
-use self::farewells::Farewells;
-use self::row::{Row, WORD_TIME};
+pub(crate) use self::criteria::Criteria;
+pub(crate) use self::exclusion::Exclusions;
+use self::leaving_notices::LeavingNotices;
+use self::row::{REPORT_TIME, Row};
 pub(crate) use self::statements::Update;
-pub(crate) use self::wish::Wish;
+use self::terminated::Terminated;
 use crate::configuration::{ColdStart, Service};
 use crate::endpoint::Endpoint;
 use crate::peer::Load;
@@ -38,7 +38,7 @@
 
 /// What an agent's word leads to.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Heard {
+pub(crate) struct LoadContext {
     /// The requests that its endpoint runs at once.
     pub(crate) slots: u32,
     /// The entries that use the endpoint.
@@ -60,8 +60,8 @@
     shared: Table<String, u64>,
     /// When the first of the missing endpoints is to be dropped.
     expires: Option<Instant>,
-    departed: Departed,
-    farewells: Farewells,
+    terminated: Terminated,
+    leaving_notices: LeavingNotices,
     limits: Limits,
     rests: Rests,
     cold: Cold,
@@ -80,8 +80,8 @@
             ranked: Vec::new(),
             shared: Table::new(),
             expires: None,
-            departed: Departed::default(),
-            farewells: Farewells::default(),
+            terminated: Terminated::default(),
+            leaving_notices: LeavingNotices::default(),
             limits: Limits::new(host),
             rests: Rests::default(),
             cold: Cold::new(cold, host),
@@ -124,7 +124,7 @@
     /// address the later one lives: the other's registration lapses only seconds after
     /// its end, and what is sent there meanwhile is refused.
     pub(crate) fn insert(&mut self, mut endpoint: Endpoint, now: Instant) -> bool {
-        if !self.rows.contains(&endpoint.id) && self.departed.doubts(&endpoint, now) {
+        if !self.rows.contains(&endpoint.id) && self.terminated.is_unconfirmed(&endpoint, now) {
             tracing::info!(
                 endpoint = endpoint.id,
                 registered = %endpoint.registered,
@@ -132,25 +132,25 @@
             );
             return false;
         }
-        endpoint.leaving |= self.farewells.covers(&endpoint);
+        endpoint.leaving |= self.leaving_notices.covers(&endpoint);
         if let Some(known) = self.rows.get_mut(&endpoint.id) {
-            known.rival = None;
-            endpoint.leaving |= known.endpoint.leaves_beyond(&endpoint);
+            known.earlier_start = None;
+            endpoint.leaving |= known.endpoint.stays_leaving(&endpoint);
             if known.endpoint == endpoint && known.missing_until.is_none() {
                 return false;
             }
             let before = std::mem::replace(&mut known.endpoint.cold_ms, endpoint.cold_ms);
             if before != endpoint.cold_ms {
-                self.take_coldness(&endpoint, now);
+                self.apply_cold_start(&endpoint, now);
                 return self.insert(endpoint, now);
             }
         }
-        if self.is_of_former_life(&endpoint, now)
+        if self.is_of_earlier_incarnation(&endpoint, now)
             || self.iter().any(|other| other.supersedes(&endpoint))
         {
             return false;
         }
-        self.end_former_lives(&endpoint, now);
+        self.end_earlier_incarnations(&endpoint, now);
         let service = endpoint.service.clone();
         let ranked = self.ranked.binary_search(&service).is_ok();
         // One that is new to a shared service is used once it was chosen.
@@ -162,7 +162,7 @@
             .get_or_insert_with(id, || Row::new(endpoint.clone(), ranked, used, now));
         row.shares_limit = shares_limit;
         row.register(endpoint.clone());
-        self.take_coldness(&endpoint, now);
+        self.apply_cold_start(&endpoint, now);
         self.refresh(&service);
         true
     }
@@ -226,18 +226,18 @@
     pub(crate) fn start(
         &mut self,
         service: &str,
-        wish: &Wish<'_>,
+        criteria: &Criteria<'_>,
         now: Instant,
         rng: &mut SmallRng,
     ) -> Result<(Choice, Attempt), choice::Error> {
         let kind = kind(service);
         let request = Request {
             service: &kind,
-            tokens: wish.tokens,
+            tokens: criteria.tokens,
             prefix: &[],
-            tried: wish.tried,
-            may_probe: wish.may_probe,
-            within: wish.within,
+            tried: criteria.tried,
+            may_probe: criteria.may_probe,
+            within: criteria.within,
         };
         let router = self
             .routers
@@ -270,31 +270,31 @@
 
     /// Takes what the agent of an endpoint tells, whose service's streams have the
     /// longest pause `pause`; there are so many `entries`.
-    pub(crate) fn hear(
+    pub(crate) fn apply_load(
         &mut self,
         load: &Load,
         pause: impl FnOnce(&str) -> Option<Duration>,
         entries: u32,
         now: Instant,
-    ) -> Option<Heard> {
+    ) -> Option<LoadContext> {
         let (_, row) = self
             .rows
             .iter_mut()
             .find(|(_, row)| row.endpoint.address == load.endpoint)?;
-        if row.is_of_other_life(load) {
+        if row.is_of_other_incarnation(load) {
             let endpoint = row.endpoint.clone();
-            self.hear_of_start(&endpoint, load, now);
+            self.note_later_start(&endpoint, load, now);
             return None;
         }
-        row.hear(load, now);
+        row.apply_load(load, now);
         let service = row.endpoint.service.clone();
         let slots = row.endpoint.slots;
         let late = row.is_late(pause(&service), now);
         let name = name::Endpoint::new(row.endpoint.id.clone());
         if let Some(router) = self.routers.get_mut(&service) {
-            router.avoid(&name, late.then(|| now + WORD_TIME));
+            router.avoid(&name, late.then(|| now + REPORT_TIME));
         }
-        Some(Heard {
+        Some(LoadContext {
             slots,
             sharers: self.sharers(&service, entries),
             slower: self.slower(&service, load.pass, now),
@@ -338,9 +338,9 @@
     }
 
     /// Returns the endpoints whose agents are looked for.
-    pub(crate) fn sought(&self, now: Instant) -> Vec<SocketAddr> {
-        let sought = self.rows.values().filter(|row| row.is_sought(now));
-        sought.map(|row| row.endpoint.address).collect()
+    pub(crate) fn awaiting_agent(&self, now: Instant) -> Vec<SocketAddr> {
+        let awaiting_agent = self.rows.values().filter(|row| row.is_awaiting_agent(now));
+        awaiting_agent.map(|row| row.endpoint.address).collect()
     }
 
     /// Takes a load report of the endpoint at `address`.
--- a/crates/gateway/src/fleet/cold.rs
+++ b/crates/gateway/src/fleet/cold.rs
@@ -25,36 +25,36 @@
         let is_new = |e: &&Endpoint| e.cold_ms > 0 && !before.contains(&e.service);
         let cold: Vec<_> = self.iter().filter(is_new).cloned().collect();
         for endpoint in cold {
-            self.take_coldness(&endpoint, now);
+            self.apply_cold_start(&endpoint, now);
         }
     }
 
     /// Takes how long an endpoint stays cold, as it has registered itself.
-    pub(super) fn take_coldness(&mut self, endpoint: &Endpoint, now: Instant) {
+    pub(super) fn apply_cold_start(&mut self, endpoint: &Endpoint, now: Instant) {
         if endpoint.cold_ms == 0 {
-            self.end_coldness(&endpoint.instance, "its registration", now);
+            self.end_cold_start(&endpoint.instance, "its registration", now);
             return;
         }
         let left = Duration::from_millis(endpoint.cold_ms.into());
-        self.begin_coldness(endpoint, left, "its registration", now);
+        self.begin_cold_start(endpoint, left, "its registration", now);
     }
 
     /// Takes that the agent of an endpoint tells of a later life than the one that is known:
     /// it has just started, whatever its registration will say.
-    pub(super) fn hear_of_start(&mut self, endpoint: &Endpoint, load: &Load, now: Instant) {
+    pub(super) fn note_later_start(&mut self, endpoint: &Endpoint, load: &Load, now: Instant) {
         if load.born <= endpoint.born || self.is_cold(&endpoint.instance) {
             return;
         }
         if let Some(ColdStart { time, .. }) = self.cold_starts.get(&endpoint.service).copied() {
-            self.begin_coldness(endpoint, time, "its agent", now);
+            self.begin_cold_start(endpoint, time, "its agent", now);
         }
     }
 
     /// Ends the coldness of endpoints whose time is over.
-    pub(super) fn expire_coldness(&mut self, now: Instant) {
+    pub(super) fn expire_cold_starts(&mut self, now: Instant) {
         for instance in self.cold.expire(now) {
             tracing::info!(endpoint = instance, source = "its time", "endpoint is warm");
-            self.fit(&instance);
+            self.refresh_withheld(&instance);
         }
     }
 
@@ -68,7 +68,13 @@
         self.cold.rate(instance).is_some()
     }
 
-    fn begin_coldness(&mut self, endpoint: &Endpoint, left: Duration, source: &str, now: Instant) {
+    fn begin_cold_start(
+        &mut self,
+        endpoint: &Endpoint,
+        left: Duration,
+        source: &str,
+        now: Instant,
+    ) {
         let Some(ColdStart { rate, .. }) = self.cold_starts.get(&endpoint.service).copied() else {
             return;
         };
@@ -82,14 +88,14 @@
                 shared = self.cold.shares(instance),
                 "endpoint is cold"
             );
-            self.fit(instance);
+            self.refresh_withheld(instance);
         }
     }
 
-    fn end_coldness(&mut self, instance: &str, source: &str, now: Instant) {
+    fn end_cold_start(&mut self, instance: &str, source: &str, now: Instant) {
         if self.cold.end(instance, now) {
             tracing::info!(endpoint = instance, source, "endpoint is warm");
-            self.fit(instance);
+            self.refresh_withheld(instance);
         }
     }
 }
--- a/crates/gateway/src/fleet/wish.rs
+++ b/crates/gateway/src/fleet/criteria.rs
@@ -4,7 +4,7 @@
 
 /// What a request wants of its endpoint beside the service.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Wish<'a> {
+pub(crate) struct Criteria<'a> {
     /// The tokens of its prompt.
     pub(crate) tokens: u32,
     /// The endpoints that it has been sent to.
--- a/crates/gateway/src/fleet/barrier.rs
+++ b/crates/gateway/src/fleet/exclusion.rs
@@ -10,7 +10,7 @@
 
 /// Why an endpoint that was chosen gets no request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
-pub(crate) enum Barred {
+pub(crate) enum Exclusion {
     /// It is leaving.
     #[display("the endpoint began to leave")]
     Leaving,
@@ -30,7 +30,7 @@
 
 /// The endpoints of a service that get no request for now.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(crate) struct Barrier {
+pub(crate) struct Exclusions {
     /// Those that rest.
     pub(crate) resting: usize,
     /// Those at their limit.
@@ -47,10 +47,10 @@
 impl Fleet {
     /// Takes that a request is about to be sent to an endpoint, if that may get one. All
     /// requests come by here, repeated and resumed ones as well.
-    pub(crate) fn admit(&mut self, endpoint: &Endpoint, now: Instant) -> Result<(), Barred> {
+    pub(crate) fn admit(&mut self, endpoint: &Endpoint, now: Instant) -> Result<(), Exclusion> {
         let instance = endpoint.instance.as_str();
-        if let Some(barred) = self.barred(endpoint, now) {
-            return Err(barred);
+        if let Some(exclusion) = self.exclusion(endpoint, now) {
+            return Err(exclusion);
         }
         self.limits.send(instance, now);
         self.cold.send(instance, now);
@@ -60,46 +60,46 @@
     }
 
     /// Returns why an endpoint gets no request now, if it gets none.
-    fn barred(&self, endpoint: &Endpoint, now: Instant) -> Option<Barred> {
+    fn exclusion(&self, endpoint: &Endpoint, now: Instant) -> Option<Exclusion> {
         let holds = |withheld: Option<Withheld>| withheld.is_some_and(|w| w.holds(now));
         let instance = endpoint.instance.as_str();
         if self.is_evacuated(endpoint) {
-            Some(Barred::Evacuated)
+            Some(Exclusion::Evacuated)
         } else if !self.takes_work(&endpoint.id) {
-            Some(Barred::Leaving)
+            Some(Exclusion::Leaving)
         } else if holds(self.rests.withheld(instance)) {
-            Some(Barred::Resting)
+            Some(Exclusion::Resting)
         } else if holds(self.limits.withheld(instance)) {
-            Some(Barred::Limited)
+            Some(Exclusion::Limited)
         } else if holds(self.cold.withheld(instance)) {
-            Some(Barred::Cold)
+            Some(Exclusion::Cold)
         } else {
             None
         }
     }
 
     /// Returns which endpoints of a service get no request for now.
-    pub(crate) fn barrier(&self, service: &str, now: Instant) -> Barrier {
-        let mut barrier = Barrier::default();
+    pub(crate) fn exclusions(&self, service: &str, now: Instant) -> Exclusions {
+        let mut exclusions = Exclusions::default();
         for endpoint in self.iter().filter(|endpoint| endpoint.service == service) {
             let instance = endpoint.instance.as_str();
             let limit = self.limits.rate(instance);
             let limit = limit.or_else(|| self.cold.rate(instance));
-            barrier.rate += limit.map_or(0.0, Rate::per_second);
-            match self.barred(endpoint, now) {
-                Some(Barred::Resting) => barrier.resting += 1,
-                Some(Barred::Limited) => {
-                    barrier.limited += 1;
-                    barrier.shared += usize::from(self.limits.shares(instance));
+            exclusions.rate += limit.map_or(0.0, Rate::per_second);
+            match self.exclusion(endpoint, now) {
+                Some(Exclusion::Resting) => exclusions.resting += 1,
+                Some(Exclusion::Limited) => {
+                    exclusions.limited += 1;
+                    exclusions.shared += usize::from(self.limits.shares(instance));
                 }
-                Some(Barred::Cold) => {
-                    barrier.cold += 1;
-                    barrier.shared += usize::from(self.cold.shares(instance));
+                Some(Exclusion::Cold) => {
+                    exclusions.cold += 1;
+                    exclusions.shared += usize::from(self.cold.shares(instance));
                 }
-                Some(Barred::Leaving | Barred::Evacuated) | None => {}
+                Some(Exclusion::Leaving | Exclusion::Evacuated) | None => {}
             }
         }
-        barrier
+        exclusions
     }
 
     /// Tells whether this entry shares the limit of an endpoint.
--- a/crates/gateway/src/fleet/farewells.rs
+++ b/crates/gateway/src/fleet/leaving_notices.rs
@@ -25,14 +25,14 @@
 
 /// The lives of endpoints that have said that they leave.
 #[derive(Debug, Default)]
-pub(super) struct Farewells {
+pub(super) struct LeavingNotices {
     /// In the order in which they said so.
     rows: Vec<Row>,
 }
 
-impl Farewells {
+impl LeavingNotices {
     /// Takes that a life says that it leaves; tells whether that is new.
-    pub(super) fn note(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
+    pub(super) fn add(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
         self.rows.retain(|row| row.until > now);
         if self.covers(endpoint) {
             return false;
--- a/crates/gateway/src/fleet/lives.rs
+++ b/crates/gateway/src/fleet/lives.rs
@@ -10,12 +10,12 @@
 
 /// How long a registration of an earlier start than the known one is not taken. A server
 /// writes its own each 1.2 s, which shows which of the two lives.
-const RIVAL_TIME: Duration = Duration::from_secs(3);
+const EARLIER_START_TIME: Duration = Duration::from_secs(3);
 
 impl Fleet {
     /// Drops the lives that have ended since `endpoint` lives, with all that is believed
     /// of them.
-    pub(super) fn end_former_lives(&mut self, endpoint: &Endpoint, now: Instant) {
+    pub(super) fn end_earlier_incarnations(&mut self, endpoint: &Endpoint, now: Instant) {
         let ended = self.iter().filter(|other| endpoint.supersedes(other));
         let ended: Vec<_> = ended.map(|other| other.id.clone()).collect();
         for id in ended {
@@ -31,8 +31,8 @@
 
     /// Tells whether a registration is of a life before the known one of the same name: a
     /// write that was carried out late. It is taken all the same if the known life does not
-    /// register itself again within [`RIVAL_TIME`], since its clock may have been set back.
-    pub(super) fn is_of_former_life(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
+    /// register itself again within [`EARLIER_START_TIME`], since its clock may have been set back.
+    pub(super) fn is_of_earlier_incarnation(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
         let same = |row: &&mut Row| {
             let known = &row.endpoint;
             known.instance == endpoint.instance && known.born > endpoint.born
@@ -46,14 +46,17 @@
             known = row.endpoint.id,
             "registration of an earlier start not taken yet"
         );
-        row.rival = Some((endpoint.clone(), now + RIVAL_TIME));
+        row.earlier_start = Some((endpoint.clone(), now + EARLIER_START_TIME));
         true
     }
 
     /// Takes the registrations of earlier starts that nothing has contradicted.
     pub(crate) fn settle(&mut self, now: Instant) {
         let due = |row: &Row| {
-            let (endpoint, _) = row.rival.as_ref().filter(|(_, until)| *until <= now)?;
+            let (endpoint, _) = row
+                .earlier_start
+                .as_ref()
+                .filter(|(_, until)| *until <= now)?;
             Some((row.endpoint.id.clone(), endpoint.clone()))
         };
         let due: Vec<_> = self.rows.values().filter_map(due).collect();
@@ -66,7 +69,7 @@
             self.end(&known, now);
             self.insert(endpoint, now);
         }
-        for endpoint in self.departed.settle(now) {
+        for endpoint in self.terminated.settle(now) {
             tracing::info!(
                 endpoint = endpoint.id,
                 registered = %endpoint.registered,
@@ -78,17 +81,17 @@
 
     /// Takes that the store's listing names these registrations and no others: what was
     /// doubted and is missing has ended.
-    pub(crate) fn settle_doubts(&mut self, named: impl Fn(&str) -> bool) {
-        self.departed.keep(named);
+    pub(crate) fn drop_unlisted(&mut self, named: impl Fn(&str) -> bool) {
+        self.terminated.retain(named);
     }
 
     /// Takes that the store no longer names an endpoint, which is used until
     /// `until` if the store may have lost it.
     pub(crate) fn remove(&mut self, instance: &str, until: Option<Instant>, now: Instant) {
-        self.departed.keep(|named| named != instance);
-        let lives = self.iter().filter(|endpoint| endpoint.instance == instance);
-        let lives: Vec<_> = lives.map(|endpoint| endpoint.id.clone()).collect();
-        for id in lives {
+        self.terminated.retain(|named| named != instance);
+        let incarnations = self.iter().filter(|endpoint| endpoint.instance == instance);
+        let incarnations: Vec<_> = incarnations.map(|endpoint| endpoint.id.clone()).collect();
+        for id in incarnations {
             let Some(row) = self.rows.get_mut(&id) else {
                 continue;
             };
@@ -103,7 +106,7 @@
 
     pub(super) fn end(&mut self, id: &str, now: Instant) {
         if let Some(row) = self.rows.remove(id) {
-            self.departed.note(&row.endpoint, now);
+            self.terminated.add(&row.endpoint, now);
             self.refresh(&row.endpoint.service);
         }
     }
--- a/crates/gateway/src/fleet/options.rs
+++ b/crates/gateway/src/fleet/options.rs
@@ -5,7 +5,7 @@
 use cactusnotch_route as route;
 
 use super::Fleet;
-use super::row::SILENCE;
+use super::row::UNRESPONSIVE_TIME;
 use crate::configuration::{Engine, Service};
 
 /// The endpoints that are drawn and compared for a request: with all compared,
@@ -30,7 +30,7 @@
             ..route::Options::default()
         };
         if let Some(engine) = &service.engine {
-            pace(&mut options, engine);
+            apply_engine(&mut options, engine);
         } else {
             options.nearest = vec![self.data_centre.clone()];
             options.hop_time = HOP_TIME;
@@ -41,12 +41,12 @@
 
 /// Fits the choice to the pass of a model server: a request that runs costs
 /// others part of a step, and one whose prompt waits costs the reading time.
-fn pace(options: &mut route::Options, engine: &Engine) {
+fn apply_engine(options: &mut route::Options, engine: &Engine) {
     let pass = (engine.step + engine.per_request * engine.slots) * engine.stride;
     options.base_time = pass;
     options.token_time = Duration::from_secs_f64(1.0 / engine.read_rate.max(1.0));
     options.report_half_life = REPORT_HALF_LIFE;
-    options.silence = Some(SILENCE);
+    options.silence = Some(UNRESPONSIVE_TIME);
 }
 
 /// How fast a load report fades; agents send one four times a second.
--- a/crates/gateway/src/fleet/row.rs
+++ b/crates/gateway/src/fleet/row.rs
@@ -10,14 +10,14 @@
 
 /// How long an agent's word on passes counts; agents repeat it four times a
 /// second.
-pub(crate) const WORD_TIME: Duration = Duration::from_millis(1_500);
+pub(crate) const REPORT_TIME: Duration = Duration::from_millis(1_500);
 /// The time after which an endpoint whose agent is not heard any more gets no work while
 /// others take some: its host is frozen, cut off or gone, and without reports it would
 /// look idle. Three reports in a row are lost in one of 40,000 cases where one in 30 is.
-pub(crate) const SILENCE: Duration = Duration::from_millis(800);
+pub(crate) const UNRESPONSIVE_TIME: Duration = Duration::from_millis(800);
 /// How long a rank's agent is looked for: agents answer a subscription at once, and a
 /// group that forms refuses all it gets for 0.6 s, which only its agents tell.
-const SEEK_TIME: Duration = Duration::from_secs(2);
+const AGENT_WAIT_TIME: Duration = Duration::from_secs(2);
 
 /// An endpoint with what the entry believes of it.
 #[derive(Debug, Clone)]
@@ -32,10 +32,10 @@
     /// Whether its group takes requests, as told with the pass.
     open: bool,
     /// Until when its agent is looked for, if it has not been heard.
-    sought_until: Option<Instant>,
+    agent_awaited_until: Option<Instant>,
     /// A registration of an earlier start, which is taken at that time unless the known life
     /// registers itself again.
-    pub(crate) rival: Option<(Endpoint, Instant)>,
+    pub(crate) earlier_start: Option<(Endpoint, Instant)>,
     /// Until when it is used though the store no longer names it.
     pub(crate) missing_until: Option<Instant>,
     /// Whether this entry shares a limit that it names.
@@ -53,8 +53,8 @@
             pass: None,
             pace: Pace::default(),
             open: true,
-            sought_until: ranked.then(|| now + SEEK_TIME),
-            rival: None,
+            agent_awaited_until: ranked.then(|| now + AGENT_WAIT_TIME),
+            earlier_start: None,
             missing_until: None,
             shares_limit: false,
         }
@@ -63,19 +63,19 @@
     /// Takes the endpoint's newest registration.
     pub(crate) fn register(&mut self, endpoint: Endpoint) {
         self.endpoint = endpoint;
-        self.rival = None;
+        self.earlier_start = None;
         self.missing_until = None;
     }
 
     /// Tells whether a load is not of this life: of one before, whose word is late, or of
     /// one whose registration is still on its way.
-    pub(crate) fn is_of_other_life(&self, load: &Load) -> bool {
+    pub(crate) fn is_of_other_incarnation(&self, load: &Load) -> bool {
         let told = load.born.zip(self.endpoint.born);
         told.is_some_and(|(told, known)| told != known)
     }
 
     /// Takes what its agent tells.
-    pub(crate) fn hear(&mut self, load: &Load, now: Instant) {
+    pub(crate) fn apply_load(&mut self, load: &Load, now: Instant) {
         let endpoint = self.endpoint.id.as_str();
         if self.open != load.open {
             tracing::info!(endpoint, open = load.open, "group has opened or broken");
@@ -87,13 +87,13 @@
         self.pass = Some((Duration::from_millis(load.pass.into()), now));
         self.pace = load.pace;
         self.open = load.open;
-        self.sought_until = None;
+        self.agent_awaited_until = None;
     }
 
     /// Returns how long a pass of its group takes, if that was told lately.
     pub(crate) fn pass(&self, now: Instant) -> Option<Duration> {
         let (pass, at) = self.pass?;
-        (now.saturating_duration_since(at) < WORD_TIME).then_some(pass)
+        (now.saturating_duration_since(at) < REPORT_TIME).then_some(pass)
     }
 
     /// Tells whether it should get nothing while others have room: it is slow, or its
@@ -111,7 +111,7 @@
     /// Tells whether it is known not to serve: its group is broken, or its agent has been
     /// heard before and is silent.
     pub(crate) fn is_lost(&self, now: Instant) -> bool {
-        let silent = |at| now.saturating_duration_since(at) > SILENCE;
+        let silent = |at| now.saturating_duration_since(at) > UNRESPONSIVE_TIME;
         !self.open || self.pass.is_some_and(|(_, at)| silent(at))
     }
 
@@ -121,7 +121,7 @@
     }
 
     /// Tells whether its agent is looked for.
-    pub(crate) fn is_sought(&self, now: Instant) -> bool {
-        self.is_used() && self.sought_until.is_some_and(|until| until > now)
+    pub(crate) fn is_awaiting_agent(&self, now: Instant) -> bool {
+        self.is_used() && self.agent_awaited_until.is_some_and(|until| until > now)
     }
 }
--- a/crates/gateway/src/fleet/sharing.rs
+++ b/crates/gateway/src/fleet/sharing.rs
@@ -7,25 +7,25 @@
 use super::Fleet;
 use super::row::Row;
 use crate::endpoint::Endpoint;
-use crate::share;
+use crate::subset;
 
 impl Fleet {
     /// Chooses the endpoints of large services that the entry `me` of `entries` uses, if
     /// entries or endpoints have changed.
-    pub(crate) fn share(&mut self, me: &str, entries: &[&str]) {
+    pub(crate) fn choose_subsets(&mut self, me: &str, entries: &[&str]) {
         for service in self.ranked.clone() {
-            self.share_one(&service, me, entries);
+            self.choose_subset(&service, me, entries);
         }
     }
 
-    fn share_one(&mut self, service: &str, me: &str, entries: &[&str]) {
+    fn choose_subset(&mut self, service: &str, me: &str, entries: &[&str]) {
         let lasting = |e: &&Endpoint| e.service == service && self.takes_new_work(e);
         let endpoints: Vec<_> = self.iter().filter(lasting).map(|e| e.id.as_str()).collect();
         let fingerprint = fingerprint(entries, &endpoints);
         if self.shared.get(service) == Some(&fingerprint) {
             return;
         }
-        let used = share::used(me, entries, &endpoints).map(|used| {
+        let used = subset::used(me, entries, &endpoints).map(|used| {
             let id = |at: usize| endpoints[at].to_owned();
             used.into_iter().map(id).collect::<Vec<_>>()
         });
@@ -58,7 +58,7 @@
             return entries;
         }
         let own = |endpoint: &&Endpoint| endpoint.service == service;
-        share::sharers(entries, self.iter().filter(own).count())
+        subset::sharers(entries, self.iter().filter(own).count())
     }
 
     /// Returns the endpoints that this entry uses.
--- a/crates/gateway/src/fleet/statements.rs
+++ b/crates/gateway/src/fleet/statements.rs
@@ -15,9 +15,9 @@
     /// Its limit.
     pub(crate) limit: Option<Change>,
     /// The rest that it is granted from now on.
-    pub(crate) rest: Option<Duration>,
+    pub(crate) back_off: Option<Duration>,
     /// Whether its rest is over.
-    pub(crate) is_rested: bool,
+    pub(crate) is_back_off_over: bool,
     /// Whether it leaves.
     pub(crate) leaves: bool,
 }
@@ -25,7 +25,7 @@
 impl Fleet {
     /// Takes what an endpoint says of itself in its answer to a request that was sent at
     /// `sent`, and whether it `ran` that.
-    pub(crate) fn take_statement(
+    pub(crate) fn apply_statement(
         &mut self,
         endpoint: &Endpoint,
         statement: &Statement,
@@ -36,30 +36,30 @@
         let instance = endpoint.instance.as_str();
         let mut update = Update {
             limit: self.limits.take(instance, statement, ran, sent, now),
-            leaves: statement.leaving && self.take_farewell(endpoint, now),
+            leaves: statement.leaving && self.record_leaving(endpoint, now),
             ..Update::default()
         };
         match statement.rest {
-            Stated::Value(rest) => update.rest = self.rests.ask(instance, rest, now),
-            Stated::Nothing => update.is_rested = self.rests.answer(instance, sent),
+            Stated::Value(rest) => update.back_off = self.rests.ask(instance, rest, now),
+            Stated::Nothing => update.is_back_off_over = self.rests.answer(instance, sent),
             Stated::Unreadable => {}
         }
         if update != Update::default() {
-            self.fit(instance);
+            self.refresh_withheld(instance);
         }
         update
     }
 
     /// Takes what another entry says of an endpoint's limit.
-    pub(crate) fn hear_word(&mut self, word: &Word, now: Instant) -> Option<Change> {
+    pub(crate) fn apply_limit_report(&mut self, report: &Word, now: Instant) -> Option<Change> {
         let limits = &mut self.limits;
-        let change = limits.hear(&word.endpoint, word.limit, word.at, now)?;
-        self.fit(&word.endpoint);
+        let change = limits.hear(&report.endpoint, report.limit, report.at, now)?;
+        self.refresh_withheld(&report.endpoint);
         Some(change)
     }
 
     /// Returns what other entries may need to know of limits.
-    pub(crate) fn words(&self, now: Instant) -> impl Iterator<Item = Word> {
+    pub(crate) fn limit_reports(&self, now: Instant) -> impl Iterator<Item = Word> {
         self.limits.words(now)
     }
 
@@ -68,7 +68,7 @@
         let limits = self.limits.set_entries(entries, now);
         let cold = self.cold.set_entries(entries, now);
         if limits || cold {
-            self.fit_all();
+            self.refresh_all_withheld();
         }
     }
 
@@ -76,15 +76,15 @@
     pub(crate) fn expire_statements(&mut self, now: Instant) {
         let limits = self.limits.expire(now);
         let rests = self.rests.expire(now);
-        self.expire_coldness(now);
+        self.expire_cold_starts(now);
         if limits || rests {
-            self.fit_all();
+            self.refresh_all_withheld();
         }
     }
 
     /// Takes that an endpoint says that it leaves; tells whether that was not known.
-    fn take_farewell(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
-        let is_new = self.farewells.note(endpoint, now);
+    fn record_leaving(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
+        let is_new = self.leaving_notices.add(endpoint, now);
         let known = self.rows.get_mut(&endpoint.id);
         let Some(row) = known.filter(|row| !row.endpoint.leaving) else {
             return is_new;
@@ -95,18 +95,18 @@
     }
 
     /// Fits the choice of all endpoints to what they have said.
-    fn fit_all(&mut self) {
+    fn refresh_all_withheld(&mut self) {
         let known = self.iter().map(|endpoint| endpoint.instance.clone());
         let known: Vec<_> = known.collect();
         for instance in known {
-            self.fit(&instance);
+            self.refresh_withheld(&instance);
         }
     }
 
     /// Fits the choice of an endpoint to what it has said. One whose limit this entry shares is
     /// used for as long, also if it belongs to a large service and wasn't chosen: few others
     /// share it.
-    pub(super) fn fit(&mut self, instance: &str) {
+    pub(super) fn refresh_withheld(&mut self, instance: &str) {
         let is_shared = self.limits.shares(instance);
         let mut changed = None;
         for (_, row) in self.rows.iter_mut() {
@@ -118,9 +118,11 @@
         if let Some(service) = changed {
             self.refresh(&service);
         }
-        let lives = self.iter().filter(|endpoint| endpoint.instance == instance);
-        let lives: Vec<_> = lives.map(|e| (e.service.clone(), e.id.clone())).collect();
-        for (service, id) in lives {
+        let incarnations = self.iter().filter(|endpoint| endpoint.instance == instance);
+        let incarnations: Vec<_> = incarnations
+            .map(|e| (e.service.clone(), e.id.clone()))
+            .collect();
+        for (service, id) in incarnations {
             self.withhold(&service, &id, instance);
         }
     }
--- a/crates/gateway/src/fleet/departed.rs
+++ b/crates/gateway/src/fleet/terminated.rs
@@ -16,7 +16,7 @@
 /// How long a life is not taken that has ended before the store came back: the store drops
 /// it after three heartbeats of 1.2 s without one, and one more is for a store that is slow. One
 /// that is named still writes to the store, so it lives.
-const DOUBT_TIME: Duration = Duration::from_millis(4_800);
+const CONFIRM_TIME: Duration = Duration::from_millis(4_800);
 
 #[derive(Debug)]
 struct Row {
@@ -27,16 +27,16 @@
 
 /// The lives of endpoints that have ended.
 #[derive(Debug, Default)]
-pub(super) struct Departed {
+pub(super) struct Terminated {
     /// In the order of their ends.
     rows: Vec<Row>,
     /// Those that the store names again, with when they are taken.
-    doubted: Vec<(Endpoint, Instant)>,
+    unconfirmed: Vec<(Endpoint, Instant)>,
 }
 
-impl Departed {
+impl Terminated {
     /// Takes that a life has ended.
-    pub(super) fn note(&mut self, endpoint: &Endpoint, now: Instant) {
+    pub(super) fn add(&mut self, endpoint: &Endpoint, now: Instant) {
         self.rows.retain(|row| row.until > now);
         if self.rows.len() >= ROWS_MAX {
             self.rows.remove(0);
@@ -50,7 +50,7 @@
 
     /// Tells whether a registration may be one that was gone already, and comes from the copy
     /// that the store came back from; it is taken later if it stays.
-    pub(super) fn doubts(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
+    pub(super) fn is_unconfirmed(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
         let is_of_copy = |row: &Row| {
             row.id == endpoint.id
                 && row.until > now
@@ -61,25 +61,27 @@
             return false;
         }
         let known = self
-            .doubted
+            .unconfirmed
             .iter_mut()
             .find(|(known, _)| known.id == endpoint.id);
         match known {
             Some((known, _)) => known.clone_from(endpoint),
-            None => self.doubted.push((endpoint.clone(), now + DOUBT_TIME)),
+            None => self
+                .unconfirmed
+                .push((endpoint.clone(), now + CONFIRM_TIME)),
         }
         true
     }
 
     /// Keeps what is doubted only if the store still names it.
-    pub(super) fn keep(&mut self, named: impl Fn(&str) -> bool) {
-        self.doubted.retain(|(known, _)| named(&known.instance));
+    pub(super) fn retain(&mut self, named: impl Fn(&str) -> bool) {
+        self.unconfirmed.retain(|(known, _)| named(&known.instance));
     }
 
     /// Returns those that have been named for so long that they live.
     pub(super) fn settle(&mut self, now: Instant) -> Vec<Endpoint> {
         let due = |(_, at): &(Endpoint, Instant)| *at <= now;
-        let settled = self.doubted.extract_if(.., |row| due(row));
+        let settled = self.unconfirmed.extract_if(.., |row| due(row));
         let settled: Vec<_> = settled.map(|(endpoint, _)| endpoint).collect();
         for endpoint in &settled {
             self.rows.retain(|row| row.id != endpoint.id);
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -22,7 +22,7 @@
 use crate::endpoint::Endpoint;
 use crate::exchange::{self, Failed, Reply, Unserved};
 use crate::intake;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::pieces;
 use crate::pump::Pump;
 use crate::refusal::Refusal;
@@ -34,12 +34,12 @@
 const LOOK_AGAIN: Duration = Duration::from_millis(40);
 
 /// Counts a request as in flight until it is dropped.
-struct InFlight(Rc<Knowledge>);
+struct InFlight(Rc<SharedState>);
 
 impl InFlight {
-    fn new(knowledge: &Rc<Knowledge>) -> Self {
-        knowledge.in_flight.set(knowledge.in_flight.get() + 1);
-        Self(Rc::clone(knowledge))
+    fn new(shared: &Rc<SharedState>) -> Self {
+        shared.in_flight.set(shared.in_flight.get() + 1);
+        Self(Rc::clone(shared))
     }
 }
 
@@ -53,23 +53,23 @@
 
 /// Answers one request.
 pub(crate) async fn answer<D: Dialect>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     incoming: Request<Incoming>,
 ) -> Response<Outgoing> {
     let arrived = clock::now();
-    let guard = InFlight::new(&knowledge);
-    let call = match intake::admit::<D>(&knowledge, incoming, arrived).await {
+    let guard = InFlight::new(&shared);
+    let call = match intake::admit::<D>(&shared, incoming, arrived).await {
         Ok(call) => call,
         Err((refusal, id)) => {
-            account::refused(&knowledge, id.as_deref(), refusal, arrived);
-            return own::<D>(&knowledge, refusal, Duration::ZERO);
+            account::refused(&shared, id.as_deref(), refusal, arrived);
+            return own::<D>(&shared, refusal, Duration::ZERO);
         }
     };
     let service = call.judged.service.clone();
-    knowledge.budgets.borrow_mut().earn(&service, arrived);
+    shared.budgets.borrow_mut().earn(&service, arrived);
     let course = Course::new(call.judged.route.repeat, call.judged.route.attempts);
     let mut flight = Flight {
-        knowledge: Rc::clone(&knowledge),
+        shared: Rc::clone(&shared),
         call,
         course,
         tried: Vec::new(),
@@ -82,13 +82,13 @@
         // An answer that is ready goes before the end of the time.
         biased;
         driven = flight.drive::<D>() => Some(driven),
-        () = knowledge.wake.due(until) => None,
+        () = shared.wake.due(until) => None,
     };
     let driven = driven.unwrap_or_else(|| Err(flight.course.time_up(flight.sending)));
     match driven {
         Ok(Answered::Whole(head, body)) => {
             flight.log(head.status.as_u16(), "whole");
-            passed_on(&knowledge, head, Outgoing::Whole(Some(body)))
+            passed_on(&shared, head, Outgoing::Whole(Some(body)))
         }
         Ok(Answered::Pieces(reply, first)) => flight.pass_on::<D>(*reply, first, guard),
         Err(refusal) => flight.give::<D>(refusal),
@@ -103,7 +103,7 @@
 
 /// A request on its way.
 struct Flight {
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     call: Call,
     course: Course,
     tried: Vec<name::Endpoint>,
@@ -125,7 +125,7 @@
                 return Err(self.course.time_up(false));
             }
             let (endpoint, running) =
-                match exchange::choose(&self.knowledge, &self.call, &self.tried, clock::now()) {
+                match exchange::choose(&self.shared, &self.call, &self.tried, clock::now()) {
                     Ok(chosen) => chosen,
                     Err(unserved) if self.waits(&unserved) => {
                         self.wait().await;
@@ -161,11 +161,11 @@
             && before + 1 < self.call.judged.route.attempts;
         self.sending = true;
         let last = self.call.head.last_event;
-        let (knowledge, call) = (&self.knowledge, &self.call);
+        let (shared, call) = (&self.shared, &self.call);
         let sent = tokio::select! {
             biased;
-            sent = exchange::send::<D>(knowledge, call, &mut self.course, endpoint, running, last) => Some(sent),
-            () = exchange::lost(knowledge, call, &self.tried, &tried), if movable => None,
+            sent = exchange::send::<D>(shared, call, &mut self.course, endpoint, running, last) => Some(sent),
+            () = exchange::lost(shared, call, &self.tried, &tried), if movable => None,
         };
         self.sending = false;
         sent.unwrap_or_else(|| {
@@ -207,7 +207,7 @@
         reply.running.piece(clock::now());
         if !status.is_server_error() {
             reply.running.whole();
-            self.knowledge.note_served(&self.call);
+            self.shared.note_served(&self.call);
         }
         reply.lease.keep(reply.kept, clock::now());
         Ok(Answered::Whole(reply.head, bytes))
@@ -241,14 +241,19 @@
     fn unserved(&self, error: &choice::Error) -> Refusal {
         let id = self.call.head.id.as_deref();
         let service = self.call.judged.service.as_str();
-        let evacuated = self.knowledge.evacuations.borrow().names().count();
-        let homes = self.call.judged.homes.as_ref().map(|homes| homes.join(","));
+        let evacuated = self.shared.evacuations.borrow().names().count();
+        let homes = self
+            .call
+            .judged
+            .allowed_regions
+            .as_ref()
+            .map(|homes| homes.join(","));
         tracing::info!(id, service, %error, evacuated, homes, "no endpoint chosen");
         let given_up = self.course.given_up();
         let choice::Error::Withheld { first, .. } = *error else {
             return given_up;
         };
-        let wait = self.knowledge.throttled(id, service, first);
+        let wait = self.shared.record_throttled(id, service, first);
         match given_up {
             Refusal::NotRun => Refusal::Throttled { wait },
             in_doubt => in_doubt,
@@ -256,7 +261,7 @@
     }
 
     fn affordable(&self) -> bool {
-        let mut budgets = self.knowledge.budgets.borrow_mut();
+        let mut budgets = self.shared.budgets.borrow_mut();
         budgets.spend(&self.call.judged.service, clock::now())
     }
 
@@ -266,7 +271,7 @@
         if let Some(cut) = failed.cut.take() {
             // What the send has left open stays so if the time is up meanwhile.
             self.sending = true;
-            crash::examine(&self.knowledge, &self.call, cut).await;
+            crash::examine(&self.shared, &self.call, cut).await;
             self.sending = false;
         }
     }
@@ -300,9 +305,9 @@
         let head = reply.head.clone();
         let length = head.headers.get(header::CONTENT_LENGTH);
         let left = length.and_then(|length| length.to_str().ok()?.parse().ok());
-        let response = passed_on(&self.knowledge, head, Outgoing::Pieces { receiver, left });
+        let response = passed_on(&self.shared, head, Outgoing::Pieces { receiver, left });
         let Self {
-            knowledge,
+            shared,
             call,
             course,
             tried,
@@ -310,7 +315,7 @@
         } = self;
         let status = response.status().as_u16();
         let pump = Pump {
-            knowledge,
+            shared,
             call,
             course,
             tried,
@@ -320,7 +325,7 @@
         tokio::task::spawn_local(async move {
             let (end, pump) = pump.run::<D>(reply, first).await;
             account::ended(
-                &pump.knowledge,
+                &pump.shared,
                 &pump.call,
                 &pump.tried,
                 status,
@@ -337,29 +342,29 @@
         if let Some((head, body)) = self.failure.take() {
             let outcome = format!("an endpoint's own failure, then: {refusal}");
             self.log(head.status.as_u16(), &outcome);
-            return passed_on(&self.knowledge, head, Outgoing::Whole(Some(body)));
+            return passed_on(&self.shared, head, Outgoing::Whole(Some(body)));
         }
         self.log(refusal.status().as_u16(), &refusal.to_string());
         let left = self.call.until.left();
-        own::<D>(&self.knowledge, refusal, left)
+        own::<D>(&self.shared, refusal, left)
     }
 
     fn log(&self, status: u16, outcome: &str) {
-        account::ended(&self.knowledge, &self.call, &self.tried, status, outcome, 0);
+        account::ended(&self.shared, &self.call, &self.tried, status, outcome, 0);
     }
 }
 
-fn own<D: Dialect>(knowledge: &Knowledge, refusal: Refusal, left: Duration) -> Response<Outgoing> {
+fn own<D: Dialect>(shared: &SharedState, refusal: Refusal, left: Duration) -> Response<Outgoing> {
     let mut response = refusal
-        .response::<D>(refusal.pause(left, knowledge.rng.borrow_mut().random()))
+        .response::<D>(refusal.pause(left, shared.rng.borrow_mut().random()))
         .map(|body| Outgoing::Whole(Some(body)));
-    close_if_stopping(knowledge, &mut response);
+    close_if_stopping(shared, &mut response);
     response
 }
 
 /// Writes an endpoint's answer for the caller.
 fn passed_on(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     head: http::response::Parts,
     body: Outgoing,
 ) -> Response<Outgoing> {
@@ -367,12 +372,12 @@
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
     request::strip(response.headers_mut());
-    close_if_stopping(knowledge, &mut response);
+    close_if_stopping(shared, &mut response);
     response
 }
 
-fn close_if_stopping(knowledge: &Knowledge, response: &mut Response<Outgoing>) {
-    if knowledge.stopping.get().is_some() {
+fn close_if_stopping(shared: &SharedState, response: &mut Response<Outgoing>) {
+    if shared.stopping.get().is_some() {
         response
             .headers_mut()
             .insert(header::CONNECTION, http::HeaderValue::from_static("close"));
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -12,14 +12,14 @@
 use rand::Rng;
 
 use crate::dialect::Dialect;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::memory::{Held, Memory};
 use crate::refusal::Refusal;
 use crate::request::{self, Call};
 
 /// Reads and judges a request.
 pub(crate) async fn admit<D: Dialect>(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     incoming: Request<Incoming>,
     arrived: Instant,
 ) -> Result<Call, (Refusal, Option<String>)> {
@@ -27,35 +27,35 @@
     let head = D::head(&parts.headers);
     let id = head.id.clone();
     let fail = |refusal| (refusal, id.clone());
-    let configuration = knowledge.configuration();
+    let configuration = shared.configuration();
     let limit = configuration
         .as_ref()
         .map_or(BODY_MAX, |c| c.limits.body_bytes);
     let patience = configuration
         .as_ref()
         .map_or(BODY_TIME, |c| c.limits.idle_time);
-    let mut room = knowledge
+    let mut room = shared
         .memory
         .begin()
         .ok_or_else(|| fail(Refusal::NoMemory))?;
-    let body = read_body(body, limit, patience, &knowledge.memory, &mut room);
+    let body = read_body(body, limit, patience, &shared.memory, &mut room);
     let body = body.await.map_err(fail)?;
-    if knowledge.closing.get() {
+    if shared.closing.get() {
         return Err(fail(Refusal::Stopping));
     }
-    if knowledge.lacks_evacuations() {
+    if shared.lacks_evacuations() {
         return Err(fail(Refusal::NotFresh));
     }
     let now = clock::now();
-    let fresh = knowledge.freshness.borrow().holds(now);
-    let configuration = knowledge
+    let fresh = shared.freshness.borrow().holds(now);
+    let configuration = shared
         .configuration()
         .ok_or_else(|| fail(Refusal::NotFresh))?;
     let host = parts
         .headers
         .get(header::HOST)
         .and_then(|host| host.to_str().ok());
-    let draw = knowledge.rng.borrow_mut().random();
+    let draw = shared.rng.borrow_mut().random();
     let judged = request::judge(&configuration, host, parts.uri.path(), &head, draw);
     let judged = match judged {
         // What isn't known here may have come with a configuration that
@@ -69,7 +69,7 @@
     request::strip(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    let has_returned = knowledge
+    let has_returned = shared
         .patience
         .borrow_mut()
         .has_returned(&judged.route.name, head.patience);
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -1,10 +1,10 @@
 //! Everything that an entry believes, shared between its tasks.
 
 mod changes;
+mod confirmation;
 mod era;
 mod evacuations;
 mod outage;
-mod proof;
 mod statements;
 mod suspects;
 
@@ -18,48 +18,48 @@
 use rand::rngs::SmallRng;
 use tokio::sync::Notify;
 
-use crate::absence::Absence;
-use crate::alarms::Alarms;
 use crate::budget::Budgets;
-use crate::complaints::Complaints;
 use crate::configuration::Configuration;
+use crate::configuration_cache::ConfigurationCache;
+use crate::confirmation::Shown;
 use crate::evacuations::Evacuations;
 use crate::fleet::Fleet;
 use crate::freshness::Freshness;
-use crate::handout::Handout;
+use crate::lag::Lag;
 use crate::link::Link;
 use crate::memory::Memory;
-use crate::news::News;
+use crate::notifications::Notifications;
 use crate::options::Options;
+use crate::outage::Outage;
 use crate::patience::Patience;
 use crate::peer::Entry;
 use crate::peers::Peers;
+use crate::polls::Polls;
 use crate::pool::Pool;
-use crate::proof::Shown;
 use crate::quarantine::Quarantine;
-use crate::questions::Questions;
 use crate::record::Records;
+use crate::reported::ReportedErrors;
 use crate::store::{Change, Codec, Item, Kind, Store, Unreadable};
 use crate::wake::Wake;
 
 /// Everything that an entry believes, shared between its tasks.
 #[derive(Debug)]
-pub(crate) struct Knowledge {
+pub(crate) struct SharedState {
     pub(crate) options: RefCell<Rc<Options>>,
     pub(crate) configuration: RefCell<Option<Rc<Configuration>>>,
     pub(crate) freshness: RefCell<Freshness>,
     pub(crate) fleet: RefCell<Fleet>,
     pub(crate) peers: RefCell<Peers>,
     pub(crate) evacuations: RefCell<Evacuations>,
-    pub(crate) questions: RefCell<Questions>,
+    pub(crate) polls: RefCell<Polls>,
     /// The eras of the store, which all its clients share.
     pub(crate) eras: Rc<Eras>,
     /// The position that the configuration was last read at.
     pub(crate) position: Cell<Position>,
     /// The newest configuration that the store has shown.
     pub(crate) shown: Cell<Shown>,
-    pub(crate) news: News,
-    pub(crate) handout: Handout,
+    pub(crate) lag: Lag,
+    pub(crate) configuration_cache: ConfigurationCache,
     pub(crate) pool: Pool,
     pub(crate) memory: Memory,
     pub(crate) budgets: RefCell<Budgets>,
@@ -71,27 +71,27 @@
     pub(crate) closing: Cell<bool>,
     /// Whether endpoints and entries have each been listed once.
     listed: Cell<(bool, bool)>,
-    absence: Cell<Absence>,
+    outage: Cell<Outage>,
     pub(crate) link: RefCell<Link>,
     /// Told when the store answers again.
     answered: Notify,
     /// Told when this entry is missing from a listing of entries.
     pub(crate) unregistered: Notify,
     /// The era that beliefs and tasks were last fitted to.
-    fitted: Cell<Era>,
+    applied_era: Cell<Era>,
     /// Until when no answer of the store can prove the configuration.
-    unproved_until: Cell<Option<Instant>>,
+    unconfirmed_until: Cell<Option<Instant>>,
     /// Told when an answer proves nothing, since the era of the store may be young.
     pub(crate) unsettled: Notify,
-    complaints: RefCell<Complaints>,
+    reported: RefCell<ReportedErrors>,
     /// The requests under which endpoints have ended.
     pub(crate) quarantine: RefCell<Quarantine>,
-    pub(crate) alarms: Alarms,
+    pub(crate) notifications: Notifications,
     pub(crate) records: Records,
     pub(crate) wake: Wake,
 }
 
-impl Knowledge {
+impl SharedState {
     pub(crate) fn new(options: Options) -> Self {
         let memory = Memory::of_host(options.memory);
         Self {
@@ -105,21 +105,21 @@
             budgets: RefCell::new(Budgets::new(options.retry_ratio, options.retry_window)),
             options: RefCell::new(Rc::new(options)),
             patience: RefCell::default(),
-            complaints: RefCell::default(),
+            reported: RefCell::default(),
             link: RefCell::default(),
             answered: Notify::new(),
             unregistered: Notify::new(),
-            fitted: Cell::default(),
-            unproved_until: Cell::default(),
+            applied_era: Cell::default(),
+            unconfirmed_until: Cell::default(),
             unsettled: Notify::new(),
             configuration: RefCell::default(),
-            questions: RefCell::default(),
+            polls: RefCell::default(),
             evacuations: RefCell::default(),
             eras: Rc::default(),
             position: Cell::default(),
             shown: Cell::default(),
-            news: News::default(),
-            handout: Handout::default(),
+            lag: Lag::default(),
+            configuration_cache: ConfigurationCache::default(),
             memory,
             pool: Pool::default(),
             rng: RefCell::new(SmallRng::from_os_rng()),
@@ -127,9 +127,9 @@
             stopping: Cell::new(None),
             closing: Cell::new(false),
             listed: Cell::new((false, false)),
-            absence: Cell::default(),
+            outage: Cell::default(),
             quarantine: RefCell::default(),
-            alarms: Alarms::default(),
+            notifications: Notifications::default(),
             records: Records::default(),
             wake: Wake::default(),
         }
@@ -198,7 +198,7 @@
             Kind::Configuration => {}
             Kind::Endpoints => {
                 let mut fleet = self.fleet.borrow_mut();
-                fleet.settle_doubts(named);
+                fleet.drop_unlisted(named);
                 let gone: Vec<_> = fleet
                     .iter()
                     .map(|endpoint| endpoint.instance.clone())
@@ -210,7 +210,7 @@
                         %position,
                         "endpoint missing from the listing"
                     );
-                    fleet.remove(&instance, self.absence.get().kept_until(now), now);
+                    fleet.remove(&instance, self.outage.get().kept_until(now), now);
                 }
                 self.listed.set((true, self.listed.get().1));
             }
@@ -237,8 +237,8 @@
     pub(crate) fn apply(&self, kind: Kind, change: Change, position: Position, now: Instant) {
         let Change { name, item } = change;
         match item {
-            Err(error) => self.take_unreadable(kind, &name, position, &error, now),
-            Ok(Some(Item::Configuration(new))) => self.take_configuration(*new, position),
+            Err(error) => self.report_unreadable(kind, &name, position, &error, now),
+            Ok(Some(Item::Configuration(new))) => self.apply_configuration(*new, position),
             Ok(Some(Item::Endpoint(endpoint))) => {
                 let (service, id) = (endpoint.service.clone(), endpoint.id.clone());
                 let mut fleet = self.fleet.borrow_mut();
@@ -253,8 +253,8 @@
                 }
             }
             Ok(Some(Item::Entry(entry))) => self.peers.borrow_mut().insert(entry),
-            Ok(Some(Item::Hold(hold))) => self.take_record(&hold, now),
-            Ok(Some(Item::Settled(era))) => self.take_settled(era, now),
+            Ok(Some(Item::QuarantineRecord(hold))) => self.apply_quarantine_record(&hold, now),
+            Ok(Some(Item::SettledEra(era))) => self.apply_settled_era(era, now),
             Ok(Some(Item::Evacuation)) => self.set_evacuated(&name, true, now),
             Ok(None) => self.forget(kind, &name, position, now),
         }
@@ -262,7 +262,7 @@
 
     /// Takes that an object can't be read, which another writer may have written. It names
     /// no endpoint or entry that could be used; of configurations the last good one stays.
-    fn take_unreadable(
+    fn report_unreadable(
         &self,
         kind: Kind,
         name: &str,
@@ -270,7 +270,7 @@
         error: &Unreadable,
         now: Instant,
     ) {
-        if self.complaints.borrow_mut().is_new(name, &error.detail) {
+        if self.reported.borrow_mut().is_new(name, &error.detail) {
             metrics::counter!(metric::GATEWAY_UNREADABLE).increment(1);
             tracing::error!(%kind, name, %position, %error, "object not taken");
         }
@@ -298,14 +298,14 @@
                 );
                 self.fleet
                     .borrow_mut()
-                    .remove(name, self.absence.get().kept_until(now), now);
+                    .remove(name, self.outage.get().kept_until(now), now);
             }
             Kind::Entries => self.peers.borrow_mut().remove(name),
             Kind::Evacuations => self.set_evacuated(name, false, now),
         }
     }
 
-    fn take_configuration(&self, new: Configuration, position: Position) {
+    fn apply_configuration(&self, new: Configuration, position: Position) {
         self.note_shown(position, new.version);
         let known = self
             .configuration
@@ -356,10 +356,12 @@
     }
 
     /// Chooses the endpoints of large services that this entry uses.
-    fn share(&self) {
+    fn choose_subsets(&self) {
         let peers = self.peers.borrow();
         let host = self.options.borrow().host.clone();
-        self.fleet.borrow_mut().share(&host, &peers.hosts());
+        self.fleet
+            .borrow_mut()
+            .choose_subsets(&host, &peers.hosts());
     }
 
     /// Drops what is past its time.
@@ -370,10 +372,10 @@
         for host in self.peers.borrow_mut().expire(now) {
             tracing::info!(host, "entry has fallen silent");
         }
-        self.share();
+        self.choose_subsets();
         let entries = self.peers.borrow().count();
         let known = self.listed.get().1;
-        self.tend_statements(known, now);
+        self.maintain_statements(known, now);
         let slack = self.options.borrow().retry_slack;
         let allowance = if known { slack / (2 * entries) } else { 0 };
         self.budgets.borrow_mut().allow(allowance);
--- a/crates/gateway/src/knowledge/era.rs
+++ b/crates/gateway/src/knowledge/era.rs
@@ -7,60 +7,60 @@
 use cactusnotch_telemetry::metric;
 use rand::Rng;
 
-use super::Knowledge;
+use super::SharedState;
+use crate::confirmation::REWRITE_TIME;
 use crate::journal::millis;
-use crate::proof::REWRITE_TIME;
 use crate::record::Write;
 
 /// How long an entry waits until it asks for a proof again which the store could not give,
 /// since operators have not written again what it has lost.
-const PROOF_PAUSE: Duration = Duration::from_millis(500);
+const CONFIRM_PAUSE: Duration = Duration::from_millis(500);
 /// The time over which entries ask that rely on others: these tell them within half a second.
-const PROOF_SPREAD: Duration = Duration::from_millis(700);
+const CONFIRM_SPREAD: Duration = Duration::from_millis(700);
 
-impl Knowledge {
+impl SharedState {
     /// Takes that another entry knows the store up to `position`. Of a newer era that is a
     /// reason to ask the store.
-    pub(crate) fn hear_position(&self, position: Position, now: Instant) {
+    pub(crate) fn note_position(&self, position: Position, now: Instant) {
         self.eras.hear(position.era(), now);
-        self.news.reach(position);
+        self.lag.observe(position);
     }
 
     /// Takes an answer of the store of a new era: what is missing from the copy may be written
     /// again, as after an outage, and what this entry had written may be gone.
-    pub(super) fn fit_to_era(&self, now: Instant) {
+    pub(super) fn adapt_to_era(&self, now: Instant) {
         let era = self.eras.current();
-        if era == self.fitted.get() {
+        if era == self.applied_era.get() {
             return;
         }
-        self.fitted.set(era);
+        self.applied_era.set(era);
         let Some(since) = self.eras.young_since() else {
             return;
         };
         metrics::counter!(metric::GATEWAY_ERAS).increment(1);
         tracing::info!(
             era = era.0,
-            endpoints_known = %self.news.progress().known(),
+            endpoints_known = %self.lag.progress().known(),
             configuration_known = %self.position.get(),
             ms = millis(now.saturating_duration_since(since)),
             "beliefs fitted to an era of the store"
         );
-        self.store_returned(since);
+        self.note_store_return(since);
         self.quarantine.borrow_mut().forget_records();
     }
 
     /// Takes that the store has shown a version of the configuration at `position`.
     pub(super) fn note_shown(&self, position: Position, version: u64) {
         let mut shown = self.shown.get();
-        shown.take(position.era(), version);
+        shown.record(position.era(), version);
         self.shown.set(shown);
     }
 
     /// Takes an answer of the store, up to `position`, to what was asked at `asked`: it proves
     /// that the configuration is the newest one, unless the store may have lost that.
-    pub(crate) fn prove(&self, position: Position, asked: Instant) {
+    pub(crate) fn confirm_configuration(&self, position: Position, asked: Instant) {
         self.position.set(self.position.get().newest(position));
-        self.news.reach(position);
+        self.lag.observe(position);
         let known = self
             .configuration
             .borrow()
@@ -69,7 +69,7 @@
         let era = position.era();
         let young_since = self.eras.young_since();
         let shown = self.shown.get();
-        if shown.proves(known, era, asked, young_since) {
+        if shown.confirms(known, era, asked, young_since) {
             self.freshness.borrow_mut().renew(asked);
             self.settle_era(era, asked);
             return;
@@ -81,10 +81,10 @@
         let spread = if self.watches(asked) {
             Duration::ZERO
         } else {
-            PROOF_SPREAD.mul_f64(jitter)
+            CONFIRM_SPREAD.mul_f64(jitter)
         };
-        let soonest = settled.unwrap_or(asked).max(asked + PROOF_PAUSE);
-        self.unproved_until.set(Some(soonest + spread));
+        let soonest = settled.unwrap_or(asked).max(asked + CONFIRM_PAUSE);
+        self.unconfirmed_until.set(Some(soonest + spread));
     }
 
     /// Takes that the configuration has been proved in `era`: one that was young has settled,
@@ -97,23 +97,25 @@
 
     /// Takes the store's record that an entry has proved the configuration in `era`. One of an
     /// era that has ended comes from a copy, and says nothing.
-    pub(super) fn take_settled(&self, era: Era, now: Instant) {
+    pub(super) fn apply_settled_era(&self, era: Era, now: Instant) {
         if !self.eras.settle(era) {
             return;
         }
         tracing::info!(era = era.0, "era of the store is no young one");
-        if self.unproved_until.get().is_some() {
-            self.unproved_until.set(Some(now));
+        if self.unconfirmed_until.get().is_some() {
+            self.unconfirmed_until.set(Some(now));
         }
     }
 
     /// Tells whether the store is to be asked for a proof: the last one is old, or there is
     /// none since the configuration was listed in a young era. It isn't asked before it can
     /// give one.
-    pub(crate) fn needs_proof(&self, now: Instant) -> bool {
-        let unproved_until = self.unproved_until.get();
+    pub(crate) fn needs_confirmation(&self, now: Instant) -> bool {
+        let unconfirmed_until = self.unconfirmed_until.get();
         let age = self.freshness.borrow().age(now);
-        let is_due = age.map_or(unproved_until.is_some(), |age| age >= self.prove_after(now));
-        is_due && unproved_until.is_none_or(|until| until <= now)
+        let is_due = age.map_or(unconfirmed_until.is_some(), |age| {
+            age >= self.confirm_after(now)
+        });
+        is_due && unconfirmed_until.is_none_or(|until| until <= now)
     }
 }
--- a/crates/gateway/src/knowledge/evacuations.rs
+++ b/crates/gateway/src/knowledge/evacuations.rs
@@ -6,35 +6,35 @@
 use cactusnotch_position::Position;
 use cactusnotch_telemetry::metric;
 
-use super::Knowledge;
-use crate::evacuations::{Evacuations, Word};
+use super::SharedState;
+use crate::confirmation::REWRITE_TIME;
+use crate::evacuations::{Evacuations, Report};
 use crate::journal::millis;
 use crate::peer::{Evacuated, State};
-use crate::proof::REWRITE_TIME;
 use crate::store::Change;
 
 /// The part of the bound after which the entry that watches for its data centre asks the store
 /// whether what is known is still so, since its watch may hang.
-const PROOF_PART: f64 = 0.32;
+const CHECK_PART: f64 = 0.32;
 /// The part of the bound from which an entry that has no confirmation from others asks the
 /// store itself. Others ask each other twice a second; what is left of the bound covers the
 /// next look and a call that gets no answer.
 const CONFIRM_PART: f64 = 0.64;
 
-impl Knowledge {
+impl SharedState {
     /// Tells whether evacuations are to be known and aren't.
     pub(crate) fn lacks_evacuations(&self) -> bool {
         self.options.borrow().evacuation.is_some() && !self.evacuations.borrow().are_known()
     }
 
     /// Returns how long the entry that watches evacuations leaves between two proofs.
-    pub(crate) fn evacuation_proof(&self) -> Duration {
-        self.evacuation_part(PROOF_PART)
+    pub(crate) fn evacuation_check_interval(&self) -> Duration {
+        self.evacuation_part(CHECK_PART)
     }
 
     /// Tells whether it is this entry's to ask the store whether what it knows of evacuations
     /// is still so.
-    pub(crate) fn needs_confirmation(&self, now: Instant) -> bool {
+    pub(crate) fn evacuations_need_confirmation(&self, now: Instant) -> bool {
         let age = self.evacuations.borrow().age(now);
         age.is_none_or(|age| age >= self.evacuation_part(CONFIRM_PART))
     }
@@ -67,7 +67,7 @@
     }
 
     /// Takes what another entry states of evacuations.
-    pub(crate) fn hear_evacuations(&self, state: &State, now: Instant) {
+    pub(crate) fn apply_peer_evacuations(&self, state: &State, now: Instant) {
         let Some(Evacuated {
             position,
             data_centres,
@@ -80,23 +80,23 @@
             return;
         }
         let age = age.map(|age| Duration::from_millis(age.into()));
-        let confirmed = age.and_then(|age| self.questions.borrow().proved(state.round, age));
-        let word = Word {
+        let confirmed = age.and_then(|age| self.polls.borrow().confirmed_at(state.round, age));
+        let report = Report {
             position: *position,
             data_centres: data_centres.clone(),
         };
         self.change_evacuations("another entry", now, |evacuations| {
-            evacuations.hear(&word, confirmed);
+            evacuations.apply_report(&report, confirmed);
         });
     }
 
     /// Returns what other entries are told of evacuations.
     pub(crate) fn evacuated(&self, now: Instant) -> Option<Evacuated> {
         let evacuations = self.evacuations.borrow();
-        let Word {
+        let Report {
             position,
             data_centres,
-        } = evacuations.word()?;
+        } = evacuations.report()?;
         let age = evacuations.age(now);
         Some(Evacuated {
             position,
--- a/crates/gateway/src/knowledge/outage.rs
+++ b/crates/gateway/src/knowledge/outage.rs
@@ -5,21 +5,21 @@
 use cactusnotch_base::clock::{self, Instant};
 use rand::Rng;
 
-use super::{Knowledge, WATCHERS};
+use super::{SharedState, WATCHERS};
 use crate::journal::millis;
 use crate::link::Role;
 use crate::peer::State;
 use crate::store::{Error, Kind};
 
-impl Knowledge {
+impl SharedState {
     /// Returns how long ago the store came back after an outage, in milliseconds.
     pub(crate) fn returned_ago(&self, now: Instant) -> Option<u32> {
-        let ago = self.absence.get().ended_ago(now)?;
+        let ago = self.outage.get().ended_ago(now)?;
         u32::try_from(ago.as_millis()).ok()
     }
 
     /// Waits until this task may ask the store: at once, unless it is lost.
-    pub(crate) async fn turn(&self) {
+    pub(crate) async fn wait_for_store_slot(&self) {
         loop {
             let answered = self.answered.notified();
             let Some(left) = self.link.borrow_mut().wait(clock::now()) else {
@@ -33,8 +33,8 @@
     }
 
     /// Notes a call to the store that has failed.
-    pub(crate) fn store_fails(&self, kind: Kind, error: &Error, now: Instant) {
-        let before = self.peers.borrow().heard_before(now);
+    pub(crate) fn note_store_failure(&self, kind: Kind, error: &Error, now: Instant) {
+        let before = self.peers.borrow().alive_before(now);
         let role = if before.is_some_and(|before| before < WATCHERS) {
             Role::Asks
         } else {
@@ -47,39 +47,39 @@
     }
 
     /// Notes that the store has answered.
-    pub(crate) fn store_answers(&self, kind: Kind, now: Instant) {
-        self.fit_to_era(now);
+    pub(crate) fn note_store_answer(&self, kind: Kind, now: Instant) {
+        self.adapt_to_era(now);
         let Some(lost) = self.link.borrow_mut().answer(now) else {
             return;
         };
         tracing::info!(%kind, ms = millis(lost), "store regained");
         self.answered.notify_waiters();
-        self.store_returned(now);
+        self.note_store_return(now);
     }
 
     /// Takes what another entry says of the store's return.
-    pub(crate) fn hear_of_return(&self, state: &State, now: Instant) {
+    pub(crate) fn note_return(&self, state: &State, now: Instant) {
         let ago = state
             .returned_ago
             .map(|ago| Duration::from_millis(ago.into()));
         let Some(returned) = ago.and_then(|ago| now.checked_sub(ago)) else {
             return;
         };
-        if self.link.borrow_mut().hear_of_return(returned) {
+        if self.link.borrow_mut().note_return(returned) {
             tracing::info!(
                 ms = ago.map(millis),
                 "store regained, as another entry says"
             );
             self.answered.notify_waiters();
-            self.store_returned(returned);
+            self.note_store_return(returned);
         }
     }
 
     /// Notes that the store answers again after an outage.
-    pub(crate) fn store_returned(&self, now: Instant) {
-        let mut absence = self.absence.get();
-        absence.end(now);
-        self.absence.set(absence);
+    pub(crate) fn note_store_return(&self, now: Instant) {
+        let mut outage = self.outage.get();
+        outage.end(now);
+        self.outage.set(outage);
         self.eras.return_at(now);
     }
 }
--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -6,12 +6,12 @@
 use cactusnotch_telemetry::metric;
 use rand::seq::IteratorRandom;
 
-use super::Knowledge;
-use crate::alarms::Alarm;
+use super::SharedState;
 use crate::dialect::Verdict;
 use crate::endpoint::Endpoint;
-use crate::fleet::{Barrier, Update};
+use crate::fleet::{Exclusions, Update};
 use crate::journal::millis;
+use crate::notifications::Notification;
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::allotment;
 use cactusnotch_throttle::limits::{Change, Word};
@@ -19,45 +19,46 @@
 
 /// The most words that are told at once: with some 50 bytes each, a datagram each half second
 /// that takes a quarter of what an entry may spend on control.
-const WORDS_MAX: usize = 16;
+const REPORTS_MAX: usize = 16;
 
-impl Knowledge {
+impl SharedState {
     /// Takes what an endpoint says of itself in its answer to a request that was sent at
     /// `sent`, and has other entries told what is new of its limit.
-    pub(crate) fn take_statement(
+    pub(crate) fn apply_statement(
         &self,
         endpoint: &Endpoint,
         verdict: &Verdict,
         sent: Option<Instant>,
         now: Instant,
     ) {
-        self.complain(endpoint, &verdict.statement);
+        self.warn_unreadable(endpoint, &verdict.statement);
         let ran = verdict.signed && !verdict.refused && !verdict.foreign;
         let sent = sent.unwrap_or(now);
         let mut fleet = self.fleet.borrow_mut();
-        let update = fleet.take_statement(endpoint, &verdict.statement, ran, sent, now);
+        let update = fleet.apply_statement(endpoint, &verdict.statement, ran, sent, now);
         drop(fleet);
-        note(endpoint, &update, &verdict.statement);
+        log_update(endpoint, &update, &verdict.statement);
         let Some(change) = update.limit else {
             return;
         };
-        let word = Word {
+        let report = Word {
             endpoint: endpoint.instance.clone(),
             limit: change.after,
             at: if change.after.is_some() { now } else { sent },
         };
-        self.note_limit(&word, change, "its answer", now);
+        self.log_limit(&report, change, "its answer", now);
         if change.is_urgent() {
-            self.alarms.mention(Alarm::Limits(vec![word]));
+            self.notifications
+                .broadcast(Notification::Limits(vec![report]));
         }
     }
 
     /// Takes what another entry says of endpoints' limits.
-    pub(crate) fn hear_words(&self, words: &[Word], now: Instant) {
-        for word in words {
-            let change = self.fleet.borrow_mut().hear_word(word, now);
+    pub(crate) fn apply_limit_reports(&self, reports: &[Word], now: Instant) {
+        for report in reports {
+            let change = self.fleet.borrow_mut().apply_limit_report(report, now);
             if let Some(change) = change {
-                self.note_limit(word, change, "another entry", now);
+                self.log_limit(report, change, "another entry", now);
             }
         }
     }
@@ -67,16 +68,19 @@
     pub(crate) fn gossip_limits(&self, now: Instant) {
         let fleet = self.fleet.borrow();
         let mut rng = self.rng.borrow_mut();
-        let words = fleet.words(now).choose_multiple(&mut *rng, WORDS_MAX);
-        if !words.is_empty() {
-            self.alarms.tell_any(Alarm::Limits(words));
+        let reports = fleet
+            .limit_reports(now)
+            .choose_multiple(&mut *rng, REPORTS_MAX);
+        if !reports.is_empty() {
+            self.notifications
+                .send_to_any(Notification::Limits(reports));
         }
     }
 
     /// Takes that a request is refused since all endpoints of `service` that could take it get
     /// none for now; `first` is when one of them may. Returns how long its caller should stay
     /// away.
-    pub(crate) fn throttled(
+    pub(crate) fn record_throttled(
         &self,
         id: Option<&str>,
         service: &str,
@@ -84,13 +88,13 @@
     ) -> Duration {
         let now = clock::now();
         let fleet = self.fleet.borrow();
-        let Barrier {
+        let Exclusions {
             resting,
             limited,
             cold,
             shared,
             rate,
-        } = fleet.barrier(service, now);
+        } = fleet.exclusions(service, now);
         let own = first.filter(|_| resting + shared > 0);
         let own = own.map(|first| first.saturating_duration_since(now));
         // Another entry that the caller comes to may have what this one lacks.
@@ -113,7 +117,7 @@
     }
 
     /// Forgets what is past its time, and divides limits among the entries if all are known.
-    pub(super) fn tend_statements(&self, known: bool, now: Instant) {
+    pub(super) fn maintain_statements(&self, known: bool, now: Instant) {
         let mut fleet = self.fleet.borrow_mut();
         fleet.expire_statements(now);
         if known {
@@ -123,11 +127,11 @@
         self.gauge(now);
     }
 
-    fn note_limit(&self, word: &Word, change: Change, source: &str, now: Instant) {
-        let ago = millis(now.saturating_duration_since(word.at));
+    fn log_limit(&self, report: &Word, change: Change, source: &str, now: Instant) {
+        let ago = millis(now.saturating_duration_since(report.at));
         let rate = |limit: Option<Rate>| limit.map(Rate::per_second);
         let (before, limit) = (rate(change.before), rate(change.after));
-        let endpoint = word.endpoint.as_str();
+        let endpoint = report.endpoint.as_str();
         let shared = self.fleet.borrow().shares_limit(endpoint);
         tracing::info!(
             endpoint,
@@ -141,15 +145,11 @@
     }
 
     /// Writes once for each endpoint what it says that can't be read.
-    fn complain(&self, endpoint: &Endpoint, statement: &Statement) {
+    fn warn_unreadable(&self, endpoint: &Endpoint, statement: &Statement) {
         let limit = (statement.limit == Stated::Unreadable).then_some("limit");
         let rest = (statement.rest == Stated::Unreadable).then_some("rest");
         for what in limit.into_iter().chain(rest) {
-            if self
-                .complaints
-                .borrow_mut()
-                .is_new(&endpoint.instance, what)
-            {
+            if self.reported.borrow_mut().is_new(&endpoint.instance, what) {
                 let endpoint = endpoint.id.as_str();
                 tracing::warn!(
                     endpoint,
@@ -170,9 +170,9 @@
 }
 
 /// Writes what an answer has changed of an endpoint's rest and leaving.
-fn note(endpoint: &Endpoint, update: &Update, statement: &Statement) {
+fn log_update(endpoint: &Endpoint, update: &Update, statement: &Statement) {
     let endpoint = endpoint.id.as_str();
-    if let Some(rest) = update.rest {
+    if let Some(rest) = update.back_off {
         let asked_ms = match statement.rest {
             Stated::Value(asked) => Some(millis(asked)),
             Stated::Nothing | Stated::Unreadable => None,
@@ -184,7 +184,7 @@
             "endpoint asks for rest"
         );
     }
-    if update.is_rested {
+    if update.is_back_off_over {
         tracing::info!(endpoint, "endpoint's rest is over");
     }
     if update.leaves {
--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -6,20 +6,20 @@
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_telemetry::metric;
 
-use super::Knowledge;
-use crate::alarms::Alarm;
+use super::SharedState;
 use crate::content::Content;
 use crate::journal::millis;
+use crate::notifications::Notification;
 use crate::peer;
 use crate::quarantine::{Crash, Verdict};
 use crate::record::Write;
 use crate::request::Call;
-use crate::store::Hold;
+use crate::store::QuarantineRecord;
 
-impl Knowledge {
+impl SharedState {
     /// Returns how long a request is held still, if it is. No request's content is worked
     /// out while none is remembered.
-    pub(crate) fn holds(&self, call: &Call, now: Instant) -> Option<Duration> {
+    pub(crate) fn quarantined_for(&self, call: &Call, now: Instant) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() {
             return None;
@@ -37,29 +37,31 @@
             return;
         };
         if held {
-            self.alarms.tell_all(Alarm::Served(content));
+            self.notifications
+                .broadcast_repeatedly(Notification::Served(content));
             self.records.push(Write::Erase(content));
         } else {
-            self.alarms.mention(Alarm::Served(content));
+            self.notifications.broadcast(Notification::Served(content));
         }
     }
 
     /// Takes that this entry has seen an endpoint end under a request, and has the others
     /// told.
     pub(crate) fn note_crash(&self, content: Content, crash: &Crash, now: Instant) {
-        let verdict = self.take_crash(content, crash, now);
+        let verdict = self.record_crash(content, crash, now);
         if verdict == Verdict::Known {
             return;
         }
-        self.alarms.tell_all(Alarm::Crash(content, crash.clone()));
+        self.notifications
+            .broadcast_repeatedly(Notification::Crash(content, crash.clone()));
         if verdict == Verdict::Held {
-            self.keep_record(content);
+            self.write_record(content);
         }
     }
 
     /// Takes that the entry at `from` tells of a crash. What is new is told to a few others;
     /// an entry that has just started gets what it can't know, that the request is held.
-    pub(crate) fn hear_of_crash(&self, told: &peer::Crash, from: SocketAddr, now: Instant) {
+    pub(crate) fn apply_crash_report(&self, told: &peer::Crash, from: SocketAddr, now: Instant) {
         let ago = |millis: u32| now.checked_sub(Duration::from_millis(millis.into()));
         let Some((sent, at)) = ago(told.sent_ago).zip(ago(told.ago)) else {
             return;
@@ -69,36 +71,37 @@
             sent,
             at,
         };
-        let verdict = self.take_crash(told.content, &crash, now);
+        let verdict = self.record_crash(told.content, &crash, now);
         if matches!(verdict, Verdict::Suspected | Verdict::Held) {
-            self.alarms.tell_few(Alarm::Crash(told.content, crash));
+            self.notifications
+                .send_to_few(Notification::Crash(told.content, crash));
         }
         // The one that saw it may have ended, or not know of the crash before it.
         if verdict == Verdict::Held && self.peers.borrow().ready_before(now) == 0 {
-            self.keep_record(told.content);
+            self.write_record(told.content);
         }
         let left = self.quarantine.borrow().holds(told.content, now);
         if let (Verdict::Held | Verdict::HeldBefore, Some(left)) = (verdict, left) {
-            let held = Alarm::Held(told.content, now + left);
-            self.alarms.tell_one(held, from);
+            let held = Notification::Held(told.content, now + left);
+            self.notifications.send_to(held, from);
         }
     }
 
     /// Takes that another entry holds a request, which ended an endpoint here.
-    pub(crate) fn hear_of_hold(&self, held: &peer::Held, now: Instant) {
+    pub(crate) fn apply_quarantine_report(&self, held: &peer::Quarantined, now: Instant) {
         let left = Duration::from_millis(held.left.into());
-        if self.hold(held.content, left, "another entry holds it", now) {
-            self.keep_record(held.content);
+        if self.apply_quarantine(held.content, left, "another entry holds it", now) {
+            self.write_record(held.content);
         }
     }
 
     /// Takes that a request was served whole at another entry.
-    pub(crate) fn hear_of_service(&self, content: Content) {
+    pub(crate) fn apply_served_report(&self, content: Content) {
         self.clear(content);
     }
 
     /// Takes the store's record of a request that is held.
-    pub(super) fn take_record(&self, hold: &Hold, now: Instant) {
+    pub(super) fn apply_quarantine_record(&self, hold: &QuarantineRecord, now: Instant) {
         let left = hold.until.duration_since(clock::wall());
         let Ok(left) = left else {
             if self.peers.borrow().ready_before(now) == 0 {
@@ -111,7 +114,7 @@
             self.records.push(Write::Erase(hold.content));
             return;
         }
-        self.hold(hold.content, left, "the store has it on record", now);
+        self.apply_quarantine(hold.content, left, "the store has it on record", now);
         self.quarantine.borrow_mut().check(hold.content, true);
     }
 
@@ -124,12 +127,12 @@
         }
         for (content, _) in held {
             if self.quarantine.borrow_mut().check(content, false) {
-                self.keep_record(content);
+                self.write_record(content);
             }
         }
     }
 
-    fn take_crash(&self, content: Content, crash: &Crash, now: Instant) -> Verdict {
+    fn record_crash(&self, content: Content, crash: &Crash, now: Instant) -> Verdict {
         let verdict = self.quarantine.borrow_mut().take(content, crash, now);
         if verdict != Verdict::Known {
             let endpoint = crash.endpoint.as_str();
@@ -140,7 +143,13 @@
         verdict
     }
 
-    fn hold(&self, content: Content, left: Duration, cause: &str, now: Instant) -> bool {
+    fn apply_quarantine(
+        &self,
+        content: Content,
+        left: Duration,
+        cause: &str,
+        now: Instant,
+    ) -> bool {
         let new = self.quarantine.borrow_mut().hold(content, left, now);
         if new {
             tracing::warn!(%content, left_ms = millis(left), cause, "request held");
@@ -156,7 +165,7 @@
         Some(held)
     }
 
-    fn keep_record(&self, content: Content) {
+    fn write_record(&self, content: Content) {
         self.records.push(Write::Keep(content));
     }
 
--- a/crates/gateway/src/news.rs
+++ b/crates/gateway/src/lag.rs
@@ -9,11 +9,11 @@
 
 /// How long an entry that is behind the store waits before it asks: its watch,
 /// or the datagram of an entry that watches, brings the changes as a rule.
-const LAG: Duration = Duration::from_millis(200);
+const CATCH_UP_DELAY: Duration = Duration::from_millis(200);
 
 /// Signs that the store holds what this entry does not know yet.
 #[derive(Debug, Default)]
-pub(crate) struct News {
+pub(crate) struct Lag {
     progress: Cell<Progress>,
     /// Told when the store is known to be ahead of what is known of endpoints.
     behind: Notify,
@@ -23,21 +23,21 @@
     outdated: Notify,
 }
 
-impl News {
+impl Lag {
     /// Returns how far endpoints are known, and how far the store is.
     pub(crate) const fn progress(&self) -> Progress {
         self.progress.get()
     }
 
     /// Notes that endpoints are known up to `position`.
-    pub(crate) fn know(&self, position: Position) {
+    pub(crate) fn advance(&self, position: Position) {
         let mut progress = self.progress.get();
         progress.know(position);
         self.progress.set(progress);
     }
 
     /// Notes that the store has reached `position`.
-    pub(crate) fn reach(&self, position: Position) {
+    pub(crate) fn observe(&self, position: Position) {
         let mut progress = self.progress.get();
         progress.reach(position);
         self.progress.set(progress);
@@ -48,11 +48,11 @@
 
     /// Waits until the store has been ahead of what is known of endpoints for
     /// so long that nobody will bring the changes.
-    pub(crate) async fn behind(&self) {
+    pub(crate) async fn wait_behind(&self) {
         loop {
             self.behind.notified().await;
             if self.progress.get().is_behind() {
-                tokio::time::sleep(LAG).await;
+                tokio::time::sleep(CATCH_UP_DELAY).await;
             }
             if self.progress.get().is_behind() {
                 return;
@@ -61,7 +61,7 @@
     }
 
     /// Notes that the entry at `from` has a newer configuration.
-    pub(crate) fn outdate(&self, version: u64, from: SocketAddr) {
+    pub(crate) fn note_newer(&self, version: u64, from: SocketAddr) {
         self.newest.set(Some((version, from)));
         self.outdated.notify_one();
     }
@@ -72,7 +72,7 @@
     }
 
     /// Waits until another entry has a newer configuration.
-    pub(crate) async fn outdated(&self) {
+    pub(crate) async fn wait_outdated(&self) {
         self.outdated.notified().await;
     }
 }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -10,7 +10,7 @@
 
 use cactusnotch_base::clock::Instant;
 
-use crate::absence::NOTICE_MAX;
+use crate::outage::DETECTION_DELAY_MAX;
 use crate::store::CALL_TIMEOUT;
 
 /// The pause after the first failed call, doubled with each further one. Each
@@ -26,7 +26,8 @@
 
 /// The time for which missing endpoints are used rests on how late an entry may
 /// notice the store's return.
-const _: () = assert!(PAUSE_MAX.as_millis() + CALL_TIMEOUT.as_millis() <= NOTICE_MAX.as_millis());
+const _: () =
+    assert!(PAUSE_MAX.as_millis() + CALL_TIMEOUT.as_millis() <= DETECTION_DELAY_MAX.as_millis());
 
 /// The part of an entry while the store doesn't answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -84,7 +85,7 @@
 
     /// Takes that the store came back at `returned` for another entry of the data centre;
     /// returns whether this one had lost the store before that.
-    pub fn hear_of_return(&mut self, returned: Instant) -> bool {
+    pub fn note_return(&mut self, returned: Instant) -> bool {
         let heard = self.lost.is_some_and(|lost| lost < returned);
         if heard {
             self.answer(returned);
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -10,19 +10,19 @@
 use cactusnotch_route::{Load, Report, State};
 use tokio::net::UdpSocket;
 
-use crate::alarms;
 use crate::datagram;
-use crate::fleet::Heard;
-use crate::knowledge::Knowledge;
+use crate::fleet::LoadContext;
+use crate::knowledge::SharedState;
+use crate::notifications;
 use crate::peer::{self, Changes, Datagram};
 
 /// How often entries near are asked whether they are ready.
-const ASK_EVERY: Duration = Duration::from_millis(500);
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
 /// How often agents that have not been heard yet are subscribed to.
-const SEEK_EVERY: Duration = Duration::from_millis(60);
+const RESUBSCRIBE_INTERVAL: Duration = Duration::from_millis(60);
 /// Every how many rounds agents are subscribed to; a subscription lasts
 /// several rounds.
-const SUBSCRIBE_EVERY: u32 = 2;
+const SUBSCRIBE_ROUNDS: u32 = 2;
 /// The most endpoints of which changes are passed on at once: with some 130
 /// bytes each they fit into a datagram.
 const CHANGES_MAX: usize = 100;
@@ -30,35 +30,35 @@
 const DATAGRAM_MAX: usize = 16 * 1024;
 
 /// Asks and answers other entries and takes agents' reports.
-pub(crate) async fn run(knowledge: Rc<Knowledge>, socket: Rc<UdpSocket>) {
-    let mut ticks = tokio::time::interval(ASK_EVERY);
+pub(crate) async fn run(shared: Rc<SharedState>, socket: Rc<UdpSocket>) {
+    let mut ticks = tokio::time::interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut looks = tokio::time::interval(SEEK_EVERY);
-    looks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let mut seeking = true;
+    let mut resubscribe_ticks = tokio::time::interval(RESUBSCRIBE_INTERVAL);
+    resubscribe_ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let mut has_missing = true;
     let mut buffer = vec![0; DATAGRAM_MAX];
     let mut round = 0_u32;
     loop {
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
-                Ok((length, from)) => take(&knowledge, &socket, &buffer[..length], from),
+                Ok((length, from)) => handle(&shared, &socket, &buffer[..length], from),
                 Err(error) => tracing::debug!(%error, "datagram not received"),
             },
-            () = knowledge.alarms.raised() => alarms::tell(&knowledge, &socket, false, clock::now()),
-            _ = looks.tick(), if seeking => seeking = seek(&knowledge, &socket),
+            () = shared.notifications.pushed() => notifications::send_due(&shared, &socket, false, clock::now()),
+            _ = resubscribe_ticks.tick(), if has_missing => has_missing = subscribe_missing(&shared, &socket),
             _ = ticks.tick() => {
-                knowledge.tick(clock::now());
-                knowledge.gossip_limits(clock::now());
-                alarms::tell(&knowledge, &socket, true, clock::now());
-                seeking = true;
-                ask(&knowledge, &socket, round.is_multiple_of(SUBSCRIBE_EVERY));
+                shared.tick(clock::now());
+                shared.gossip_limits(clock::now());
+                notifications::send_due(&shared, &socket, true, clock::now());
+                has_missing = true;
+                poll(&shared, &socket, round.is_multiple_of(SUBSCRIBE_ROUNDS));
                 round = round.wrapping_add(1);
             }
         }
     }
 }
 
-fn take(knowledge: &Knowledge, socket: &UdpSocket, bytes: &[u8], from: SocketAddr) {
+fn handle(shared: &SharedState, socket: &UdpSocket, bytes: &[u8], from: SocketAddr) {
     let now = clock::now();
     match datagram::decode(bytes) {
         Ok(Datagram::Subscribe) => tracing::debug!(%from, "subscription to loads at an entry"),
@@ -67,64 +67,64 @@
             ready,
             round,
         }) => {
-            knowledge.peers.borrow_mut().insert(entry);
-            hear(knowledge, from, ready, now);
-            send(socket, &Datagram::State(state(knowledge, round, now)), from);
+            shared.peers.borrow_mut().insert(entry);
+            record_state(shared, from, ready, now);
+            send(socket, &Datagram::State(state(shared, round, now)), from);
         }
         Ok(Datagram::State(state)) => {
-            hear(knowledge, from, state.ready, now);
-            knowledge.take_proof(&state, from, now);
-            knowledge.hear_of_return(&state, now);
-            knowledge.hear_evacuations(&state, now);
+            record_state(shared, from, state.ready, now);
+            shared.apply_confirmation(&state, from, now);
+            shared.note_return(&state, now);
+            shared.apply_peer_evacuations(&state, now);
         }
-        Ok(Datagram::Load(load)) => take_load(knowledge, &load, now),
-        Ok(Datagram::Changes(changes)) => knowledge.take_changes(changes, now),
-        Ok(Datagram::Crash(crash)) => knowledge.hear_of_crash(&crash, from, now),
-        Ok(Datagram::Held(held)) => knowledge.hear_of_hold(&held, now),
-        Ok(Datagram::Served(content)) => knowledge.hear_of_service(content),
+        Ok(Datagram::Load(load)) => apply_load_report(shared, &load, now),
+        Ok(Datagram::Changes(changes)) => shared.apply_changes(changes, now),
+        Ok(Datagram::Crash(crash)) => shared.apply_crash_report(&crash, from, now),
+        Ok(Datagram::Held(held)) => shared.apply_quarantine_report(&held, now),
+        Ok(Datagram::Served(content)) => shared.apply_served_report(content),
         Ok(Datagram::Limits(limits)) => {
-            let words = limits.iter().filter_map(|limit| limit.word(now));
-            knowledge.hear_words(&words.collect::<Vec<_>>(), now);
+            let reports = limits.iter().filter_map(|limit| limit.report(now));
+            shared.apply_limit_reports(&reports.collect::<Vec<_>>(), now);
         }
         Err(error) => tracing::debug!(%from, %error, "datagram dropped"),
     }
 }
 
 /// Takes whether the entry at `from` takes callers' requests.
-fn hear(knowledge: &Knowledge, from: SocketAddr, ready: bool, now: Instant) {
-    if let Some(host) = knowledge.peers.borrow_mut().hear(from, ready, now) {
+fn record_state(shared: &SharedState, from: SocketAddr, ready: bool, now: Instant) {
+    if let Some(host) = shared.peers.borrow_mut().record_state(from, ready, now) {
         tracing::info!(host, ready, "entry changed");
     }
 }
 
 /// Returns how this entry is.
-fn state(knowledge: &Knowledge, round: u32, now: Instant) -> peer::State {
-    let age = knowledge.freshness.borrow().age(now);
+fn state(shared: &SharedState, round: u32, now: Instant) -> peer::State {
+    let age = shared.freshness.borrow().age(now);
     peer::State {
-        ready: knowledge.ready(now),
+        ready: shared.ready(now),
         round,
-        version: knowledge
+        version: shared
             .configuration()
             .map_or(0, |configuration| configuration.version),
         proof_age: age.and_then(|age| u32::try_from(age.as_millis()).ok()),
         // Only what can be passed on: others would ask the store for the rest.
-        known: knowledge.news.progress().known(),
-        returned_ago: knowledge.returned_ago(now),
-        evacuated: knowledge.evacuated(now),
+        known: shared.lag.progress().known(),
+        returned_ago: shared.returned_ago(now),
+        evacuated: shared.evacuated(now),
     }
 }
 
-fn take_load(knowledge: &Knowledge, load: &peer::Load, now: Instant) {
-    let entries = knowledge.peers.borrow().count();
-    let configuration = knowledge.configuration();
+fn apply_load_report(shared: &SharedState, load: &peer::Load, now: Instant) {
+    let entries = shared.peers.borrow().count();
+    let configuration = shared.configuration();
     let pause = |service: &str| configuration.as_ref()?.pause(service);
-    let mut fleet = knowledge.fleet.borrow_mut();
-    let heard = fleet.hear(load, pause, entries, now);
-    let Some(Heard {
+    let mut fleet = shared.fleet.borrow_mut();
+    let context = fleet.apply_load(load, pause, entries, now);
+    let Some(LoadContext {
         slots,
         sharers,
         slower,
-    }) = heard
+    }) = context
     else {
         return;
     };
@@ -136,7 +136,7 @@
         },
         slots,
         total: Load {
-            requests: load.requests + detour(slots, slower),
+            requests: load.requests + slow_group_penalty(slots, slower),
             backlog: 0,
         },
         mine: None,
@@ -154,29 +154,29 @@
     clippy::cast_sign_loss,
     reason = "a part of the slots"
 )]
-fn detour(slots: u32, slower: f64) -> u32 {
+fn slow_group_penalty(slots: u32, slower: f64) -> u32 {
     let part = (slower - 1.0).clamp(0.0, 1.0);
     (f64::from(slots) * part).round() as u32
 }
 
-fn ask(knowledge: &Knowledge, socket: &UdpSocket, subscribe: bool) {
-    let asked = knowledge.peers.borrow().asked();
+fn poll(shared: &SharedState, socket: &UdpSocket, subscribe: bool) {
+    let polled = shared.peers.borrow().polled();
     let now = clock::now();
-    let round = knowledge.questions.borrow_mut().begin(now);
+    let round = shared.polls.borrow_mut().begin(now);
     let question = Datagram::Ask {
-        entry: knowledge.entry(),
-        ready: knowledge.ready(now),
+        entry: shared.entry(),
+        ready: shared.ready(now),
         round,
     };
-    for peer in asked {
+    for peer in polled {
         send(socket, &question, peer);
     }
-    if !subscribe || knowledge.stopping.get().is_some() {
+    if !subscribe || shared.stopping.get().is_some() {
         return;
     }
-    let port = knowledge.options().agent_port;
-    let fleet = knowledge.fleet.borrow();
-    let configuration = knowledge.configuration();
+    let port = shared.options().agent_port;
+    let fleet = shared.fleet.borrow();
+    let configuration = shared.configuration();
     let engines = fleet.used().filter(|endpoint| {
         let service = configuration
             .as_ref()
@@ -193,48 +193,48 @@
 }
 
 /// Subscribes to agents that have not been heard yet; returns whether there are any.
-fn seek(knowledge: &Knowledge, socket: &UdpSocket) -> bool {
-    let port = knowledge.options().agent_port;
-    let sought = knowledge.fleet.borrow().sought(clock::now());
-    for endpoint in &sought {
+fn subscribe_missing(shared: &SharedState, socket: &UdpSocket) -> bool {
+    let port = shared.options().agent_port;
+    let awaiting_agent = shared.fleet.borrow().awaiting_agent(clock::now());
+    for endpoint in &awaiting_agent {
         let agent = SocketAddr::new(endpoint.ip(), port);
         send(socket, &Datagram::Subscribe, agent);
     }
-    !sought.is_empty()
+    !awaiting_agent.is_empty()
 }
 
 /// Passes changes of endpoints on to the entries of this data centre. One that
 /// doesn't get them finds itself behind the store and asks there.
-pub(crate) fn pass_on(knowledge: &Knowledge, socket: &UdpSocket, changes: Changes) {
+pub(crate) fn pass_on(shared: &SharedState, socket: &UdpSocket, changes: Changes) {
     if changes.endpoints.len() > CHANGES_MAX {
         return;
     }
     let changes = Datagram::Changes(changes);
-    for peer in knowledge.peers.borrow().near() {
+    for peer in shared.peers.borrow().in_data_centre() {
         send(socket, &changes, peer);
     }
 }
 
 /// Tells the entries near how this one is, since that has just changed.
-pub(crate) fn announce(knowledge: &Knowledge, socket: &UdpSocket) {
-    let state = Datagram::State(state(knowledge, 0, clock::now()));
-    for peer in knowledge.peers.borrow().near() {
+pub(crate) fn announce(shared: &SharedState, socket: &UdpSocket) {
+    let state = Datagram::State(state(shared, 0, clock::now()));
+    for peer in shared.peers.borrow().in_data_centre() {
         send(socket, &state, peer);
     }
 }
 
 /// Tells the entries near that this one takes no callers any more.
-pub(crate) fn announce_stop(knowledge: &Knowledge, socket: &UdpSocket) {
-    let peers = knowledge.peers.borrow();
-    let mut told = peers.near();
-    told.extend(peers.asked());
-    told.sort_unstable();
-    told.dedup();
+pub(crate) fn announce_stop(shared: &SharedState, socket: &UdpSocket) {
+    let peers = shared.peers.borrow();
+    let mut receivers = peers.in_data_centre();
+    receivers.extend(peers.polled());
+    receivers.sort_unstable();
+    receivers.dedup();
     let state = Datagram::State(peer::State {
         ready: false,
-        ..state(knowledge, 0, clock::now())
+        ..state(shared, 0, clock::now())
     });
-    for peer in told {
+    for peer in receivers {
         send(socket, &state, peer);
     }
 }
--- a/crates/gateway/src/alarms.rs
+++ b/crates/gateway/src/notifications.rs
@@ -10,7 +10,7 @@
 
 use crate::content::Content;
 use crate::journal::millis;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::listing;
 use crate::peer::{self, Datagram};
 use crate::quarantine::Crash;
@@ -19,14 +19,14 @@
 
 /// How often the entry that saw a crash tells all others, half a second apart: where one
 /// datagram in 30 is lost, one entry in 27,000 hears of it only from others.
-const TIMES: u32 = 3;
+const REPEATS: u32 = 3;
 /// How many entries an entry tells of a crash that it was told of, so that those which the
 /// first can't reach hear of it too.
-const FURTHER: usize = 3;
+const FORWARD_COUNT: usize = 3;
 
 /// What is told.
 #[derive(Debug, Clone)]
-pub(crate) enum Alarm {
+pub(crate) enum Notification {
     /// An endpoint ended under a request.
     Crash(Content, Crash),
     /// A request is held until then.
@@ -37,7 +37,7 @@
     Limits(Vec<Word>),
 }
 
-impl Alarm {
+impl Notification {
     fn datagram(&self, now: Instant) -> Datagram {
         let millis = |time| u32::try_from(millis(time)).unwrap_or(u32::MAX);
         match self {
@@ -47,7 +47,7 @@
                 sent_ago: millis(now.saturating_duration_since(crash.sent)),
                 ago: millis(now.saturating_duration_since(crash.at)),
             }),
-            Self::Held(content, until) => Datagram::Held(peer::Held {
+            Self::Held(content, until) => Datagram::Held(peer::Quarantined {
                 content: *content,
                 left: millis(until.saturating_duration_since(now)),
             }),
@@ -75,94 +75,94 @@
 
 #[derive(Debug)]
 struct Due {
-    alarm: Alarm,
+    notification: Notification,
     audience: Audience,
     /// How often it is still to be told.
     times: u32,
     /// Whether it has been told already.
-    told: bool,
+    sent: bool,
 }
 
 /// What other entries are to be told.
 #[derive(Debug, Default)]
-pub(crate) struct Alarms {
+pub(crate) struct Notifications {
     due: RefCell<Vec<Due>>,
-    raised: Notify,
+    pushed: Notify,
 }
 
-impl Alarms {
+impl Notifications {
     /// Has all entries told, several times.
-    pub(crate) fn tell_all(&self, alarm: Alarm) {
-        self.push(alarm, Audience::All, TIMES);
+    pub(crate) fn broadcast_repeatedly(&self, notification: Notification) {
+        self.push(notification, Audience::All, REPEATS);
     }
 
     /// Has all entries told once.
-    pub(crate) fn mention(&self, alarm: Alarm) {
-        self.push(alarm, Audience::All, 1);
+    pub(crate) fn broadcast(&self, notification: Notification) {
+        self.push(notification, Audience::All, 1);
     }
 
     /// Has a few entries told.
-    pub(crate) fn tell_few(&self, alarm: Alarm) {
-        self.push(alarm, Audience::Few, 1);
+    pub(crate) fn send_to_few(&self, notification: Notification) {
+        self.push(notification, Audience::Few, 1);
     }
 
     /// Has one entry told, whichever.
-    pub(crate) fn tell_any(&self, alarm: Alarm) {
-        self.push(alarm, Audience::Any, 1);
+    pub(crate) fn send_to_any(&self, notification: Notification) {
+        self.push(notification, Audience::Any, 1);
     }
 
     /// Has this entry told.
-    pub(crate) fn tell_one(&self, alarm: Alarm, entry: SocketAddr) {
-        self.push(alarm, Audience::One(entry), 1);
+    pub(crate) fn send_to(&self, notification: Notification, entry: SocketAddr) {
+        self.push(notification, Audience::One(entry), 1);
     }
 
-    fn push(&self, alarm: Alarm, audience: Audience, times: u32) {
+    fn push(&self, notification: Notification, audience: Audience, times: u32) {
         self.due.borrow_mut().push(Due {
-            alarm,
+            notification,
             audience,
             times,
-            told: false,
+            sent: false,
         });
-        self.raised.notify_one();
+        self.pushed.notify_one();
     }
 
     /// Waits until there is something new to be told.
-    pub(crate) async fn raised(&self) {
-        self.raised.notified().await;
+    pub(crate) async fn pushed(&self) {
+        self.pushed.notified().await;
     }
 }
 
 /// Tells what is new, or what is to be told `again` as well, and keeps what is due later.
-pub(crate) fn tell(knowledge: &Knowledge, socket: &UdpSocket, again: bool, now: Instant) {
-    let due = std::mem::take(&mut *knowledge.alarms.due.borrow_mut());
+pub(crate) fn send_due(shared: &SharedState, socket: &UdpSocket, again: bool, now: Instant) {
+    let due = std::mem::take(&mut *shared.notifications.due.borrow_mut());
     for mut due in due {
-        if due.told && !again {
-            knowledge.alarms.due.borrow_mut().push(due);
+        if due.sent && !again {
+            shared.notifications.due.borrow_mut().push(due);
             continue;
         }
-        let datagram = due.alarm.datagram(now);
-        for entry in audience(knowledge, due.audience) {
+        let datagram = due.notification.datagram(now);
+        for entry in audience(shared, due.audience) {
             listing::send(socket, &datagram, entry);
         }
-        (due.times, due.told) = (due.times - 1, true);
+        (due.times, due.sent) = (due.times - 1, true);
         if due.times > 0 {
-            knowledge.alarms.due.borrow_mut().push(due);
+            shared.notifications.due.borrow_mut().push(due);
         }
     }
 }
 
-fn audience(knowledge: &Knowledge, audience: Audience) -> Vec<SocketAddr> {
+fn audience(shared: &SharedState, audience: Audience) -> Vec<SocketAddr> {
     match audience {
-        Audience::All => knowledge.peers.borrow().all(),
-        Audience::Few => some(knowledge, FURTHER),
-        Audience::Any => some(knowledge, 1),
+        Audience::All => shared.peers.borrow().all(),
+        Audience::Few => random_peers(shared, FORWARD_COUNT),
+        Audience::Any => random_peers(shared, 1),
         Audience::One(entry) => vec![entry],
     }
 }
 
 /// Returns so many other entries, drawn at random.
-fn some(knowledge: &Knowledge, number: usize) -> Vec<SocketAddr> {
-    let all = knowledge.peers.borrow().all();
-    let mut rng = knowledge.rng.borrow_mut();
+fn random_peers(shared: &SharedState, number: usize) -> Vec<SocketAddr> {
+    let all = shared.peers.borrow().all();
+    let mut rng = shared.rng.borrow_mut();
     all.choose_multiple(&mut rng, number).copied().collect()
 }
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -8,7 +8,7 @@
 use cactusnotch_position::Position;
 
 use crate::content::Content;
-use crate::endpoint::Born;
+use crate::endpoint::StartTime;
 use crate::{Endpoint, Pace};
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::limits::Word;
@@ -19,7 +19,7 @@
     /// Where the endpoint takes requests.
     pub endpoint: SocketAddr,
     /// When it started, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The requests that run or wait there.
     pub requests: u32,
     /// Whether its group of ranks can take requests.
@@ -70,7 +70,7 @@
     /// An endpoint ended under a request.
     Crash(Crash),
     /// An entry holds a request.
-    Held(Held),
+    Held(Quarantined),
     /// A request was served whole that others may suspect or hold.
     Served(Content),
     /// What an entry knows of endpoints' limits.
@@ -92,7 +92,7 @@
 
 /// A request that an entry keeps from endpoints.
 #[message]
-pub struct Held {
+pub struct Quarantined {
     /// What all attempts of the request have in common.
     pub content: Content,
     /// How long it is held still, in milliseconds.
@@ -113,7 +113,7 @@
 
 impl Limit {
     /// Returns what it says, or `None` if its rate is no rate.
-    pub(crate) fn word(&self, now: Instant) -> Option<Word> {
+    pub(crate) fn report(&self, now: Instant) -> Option<Word> {
         let limit = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
             None => None,
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -10,14 +10,14 @@
 
 /// How long a statement of readiness counts: two lost datagrams are borne, and
 /// a dead entry is off the lists before callers' next question.
-const STATEMENT_TIME: Duration = Duration::from_millis(1_700);
+const STATE_TIME: Duration = Duration::from_millis(1_700);
 /// The most entries that are asked, so that the cost stays the same however many there
 /// are. Those that ask tell how they are too, so that up to 31 know of each other.
-pub const ASKED_MAX: usize = 16;
+pub const POLLED_MAX: usize = 16;
 /// How many of them are the first of the data centre by name, which watch the store and
 /// prove its state for the others; the rest follow this entry by name, and begin again
 /// after the last, so that each is asked by equally many.
-const ASKED_FIRST: usize = 2;
+const POLLED_FIRST: usize = 2;
 /// The entries from which on a list is long enough to stay within the
 /// caller's data centre.
 const LIST_MIN: usize = 2;
@@ -26,7 +26,7 @@
 struct Row {
     entry: Entry,
     ready: bool,
-    heard: Option<Instant>,
+    last_seen: Option<Instant>,
 }
 
 impl Row {
@@ -35,8 +35,8 @@
     }
 
     fn alive(&self, now: Instant) -> bool {
-        self.heard
-            .is_some_and(|at| now.saturating_duration_since(at) < STATEMENT_TIME)
+        self.last_seen
+            .is_some_and(|at| now.saturating_duration_since(at) < STATE_TIME)
     }
 }
 
@@ -67,13 +67,13 @@
         let row = self.rows.get_or_insert_with(entry.host.clone(), || Row {
             entry: entry.clone(),
             ready: false,
-            heard: None,
+            last_seen: None,
         });
         if row.entry != entry {
             *row = Row {
                 entry,
                 ready: false,
-                heard: None,
+                last_seen: None,
             };
         }
     }
@@ -111,20 +111,20 @@
     /// Returns how many entries of this data centre that are heard come before this one in
     /// the order of names; `None` if others are known and none is heard.
     #[must_use]
-    pub fn heard_before(&self, now: Instant) -> Option<u32> {
-        let heard = || self.rows.values().filter(|row| row.alive(now));
-        if !self.rows.is_empty() && heard().next().is_none() {
+    pub fn alive_before(&self, now: Instant) -> Option<u32> {
+        let responsive = || self.rows.values().filter(|row| row.alive(now));
+        if !self.rows.is_empty() && responsive().next().is_none() {
             return None;
         }
         let before =
             |row: &&Row| row.entry.data_centre == self.data_centre && row.entry.host < self.host;
-        let count = heard().filter(before).count();
+        let count = responsive().filter(before).count();
         Some(u32::try_from(count).unwrap_or(u32::MAX))
     }
 
     /// Returns where the entries of this data centre take datagrams.
     #[must_use]
-    pub fn near(&self) -> Vec<SocketAddr> {
+    pub fn in_data_centre(&self) -> Vec<SocketAddr> {
         let near = |row: &&Row| row.entry.data_centre == self.data_centre;
         let rows = self.rows.values().filter(near);
         rows.map(|row| row.entry.peers).collect()
@@ -139,24 +139,24 @@
     /// Returns where to ask for statements: entries of this data centre, and a few others
     /// if there are not enough.
     #[must_use]
-    pub fn asked(&self) -> Vec<SocketAddr> {
+    pub fn polled(&self) -> Vec<SocketAddr> {
         let near = |row: &&Row| row.entry.data_centre == self.data_centre;
         let rows = || self.rows.values();
-        let mut asked: Vec<_> = rows().filter(near).map(|row| row.entry.peers).collect();
-        if asked.len() < LIST_MIN {
-            asked.extend(rows().filter(|row| !near(row)).map(|row| row.entry.peers));
-        } else if asked.len() > ASKED_MAX {
+        let mut polled: Vec<_> = rows().filter(near).map(|row| row.entry.peers).collect();
+        if polled.len() < LIST_MIN {
+            polled.extend(rows().filter(|row| !near(row)).map(|row| row.entry.peers));
+        } else if polled.len() > POLLED_MAX {
             let before = rows().filter(near).filter(|row| row.entry.host < self.host);
             // The first stay in front, the others begin after this entry.
-            let others = &mut asked[ASKED_FIRST..];
-            others.rotate_left(before.count().saturating_sub(ASKED_FIRST) % others.len());
+            let others = &mut polled[POLLED_FIRST..];
+            others.rotate_left(before.count().saturating_sub(POLLED_FIRST) % others.len());
         }
-        asked.truncate(ASKED_MAX);
-        asked
+        polled.truncate(POLLED_MAX);
+        polled
     }
 
     /// Takes a statement; returns the entry's host if it changed.
-    pub fn hear(&mut self, from: SocketAddr, ready: bool, now: Instant) -> Option<&str> {
+    pub fn record_state(&mut self, from: SocketAddr, ready: bool, now: Instant) -> Option<&str> {
         let found = self
             .rows
             .iter_mut()
@@ -165,7 +165,7 @@
         let row = found?;
         let changed = row.ready(now) != ready;
         row.ready = ready;
-        row.heard = Some(now);
+        row.last_seen = Some(now);
         changed.then_some(row.entry.host.as_str())
     }
 
@@ -192,16 +192,16 @@
         self.list_within(data_centre, own, |_| true, now)
     }
 
-    /// Returns the same, of other entries those in data centres that `is_home` allows.
+    /// Returns the same, of other entries those in data centres that `is_allowed` allows.
     #[must_use]
     pub fn list_within(
         &self,
         data_centre: Option<&str>,
         own: Option<SocketAddr>,
-        is_home: impl Fn(&str) -> bool,
+        is_allowed: impl Fn(&str) -> bool,
         now: Instant,
     ) -> Vec<SocketAddr> {
-        let allowed = |row: &&Row| row.ready(now) && is_home(&row.entry.data_centre);
+        let allowed = |row: &&Row| row.ready(now) && is_allowed(&row.entry.data_centre);
         let ready = || self.rows.values().filter(allowed);
         let home = data_centre.is_none_or(|wanted| wanted == self.data_centre);
         let near = |row: &&Row| data_centre.is_none_or(|wanted| row.entry.data_centre == wanted);
--- a/crates/gateway/src/questions.rs
+++ b/crates/gateway/src/polls.rs
@@ -13,12 +13,12 @@
 /// which it was *asked*: its answer can't be older than the question, whatever
 /// the clocks and the network do.
 #[derive(Debug, Default)]
-pub struct Questions {
+pub struct Polls {
     last: u32,
     asked: Vec<(u32, Instant)>,
 }
 
-impl Questions {
+impl Polls {
     /// Begins a round of questions and returns its number.
     pub fn begin(&mut self, now: Instant) -> u32 {
         self.last = self.last.wrapping_add(1).max(1);
@@ -32,7 +32,7 @@
     /// Returns the moment at which a proof holds whose age was stated in answer
     /// to `round`.
     #[must_use]
-    pub fn proved(&self, round: u32, age: Duration) -> Option<Instant> {
+    pub fn confirmed_at(&self, round: u32, age: Duration) -> Option<Instant> {
         let (_, asked) = self.asked.iter().find(|(known, _)| *known == round)?;
         asked.checked_sub(age)
     }
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -16,7 +16,7 @@
 use crate::dialect::Dialect;
 use crate::events::Events;
 use crate::exchange::{self, Failed, Reply};
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::pieces::Sender;
 use crate::request::Call;
 use crate::route::Repeat;
@@ -40,7 +40,7 @@
 
 /// An answer that is being passed on.
 pub(crate) struct Pump {
-    pub(crate) knowledge: Rc<Knowledge>,
+    pub(crate) shared: Rc<SharedState>,
     pub(crate) call: Call,
     pub(crate) course: Course,
     pub(crate) tried: Vec<name::Endpoint>,
@@ -124,8 +124,8 @@
                 biased;
                 () = self.sender.closed() => return Part::End(End::Left),
                 frame = body.frame() => frame,
-                () = self.knowledge.wake.due(until) => return Part::End(End::TimeUp),
-                () = exchange::lost(&self.knowledge, &self.call, &self.tried, running.endpoint()),
+                () = self.shared.wake.due(until) => return Part::End(End::TimeUp),
+                () = exchange::lost(&self.shared, &self.call, &self.tried, running.endpoint()),
                     if events.is_some() && self.course.may_repeat() =>
                 {
                     running.failed();
@@ -158,7 +158,7 @@
             return Part::broken("the stream ended within an event");
         }
         running.whole();
-        self.knowledge.note_served(&self.call);
+        self.shared.note_served(&self.call);
         lease.keep(kept, clock::now());
         Part::End(End::Whole)
     }
@@ -168,18 +168,18 @@
     fn leaves(&self, endpoint: &name::Endpoint) -> bool {
         let now = clock::now();
         let straggles = || {
-            let fleet = self.knowledge.fleet.borrow();
+            let fleet = self.shared.fleet.borrow();
             fleet.is_straggler(endpoint.as_str(), now)
         };
         self.course.may_repeat()
             && straggles()
-            && exchange::may_move(&self.knowledge, &self.call, &self.tried, now)
+            && exchange::may_move(&self.shared, &self.call, &self.tried, now)
     }
 
     /// Finds out whether an endpoint has ended under the request.
     async fn examine(&self, failed: &mut Failed) {
         if let Some(cut) = failed.cut.take() {
-            crash::examine(&self.knowledge, &self.call, cut).await;
+            crash::examine(&self.shared, &self.call, cut).await;
         }
     }
 
@@ -193,7 +193,7 @@
             self.examine(&mut failure).await;
             let now = clock::now();
             let service = self.call.judged.service.clone();
-            let affordable = || self.knowledge.budgets.borrow_mut().spend(&service, now);
+            let affordable = || self.shared.budgets.borrow_mut().spend(&service, now);
             let next = self.course.fail(failure.failure, affordable);
             let id = self.call.head.id.as_deref();
             tracing::info!(id, content = %self.call.content(), after = last, cause = failure.cause, next = ?next, "stream broken at its endpoint");
@@ -201,10 +201,10 @@
                 return None;
             }
             let (endpoint, running) =
-                exchange::choose(&self.knowledge, &self.call, &self.tried, now).ok()?;
+                exchange::choose(&self.shared, &self.call, &self.tried, now).ok()?;
             self.tried.push(running.endpoint().clone());
             let sending = exchange::send::<D>(
-                &self.knowledge,
+                &self.shared,
                 &self.call,
                 &mut self.course,
                 &endpoint,
@@ -216,7 +216,7 @@
                 biased;
                 () = self.sender.closed() => return None,
                 sent = sending => sent,
-                () = self.knowledge.wake.due(until) => return None,
+                () = self.shared.wake.due(until) => return None,
             };
             match sent {
                 Ok(reply) if reply.head.status.is_success() => {
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -14,8 +14,8 @@
 use tokio::sync::Notify;
 
 use crate::content::Content;
-use crate::knowledge::Knowledge;
-use crate::store::{Codec, Error, Hold, Kind, Store};
+use crate::knowledge::SharedState;
+use crate::store::{Codec, Error, Kind, QuarantineRecord, Store};
 
 /// What is to be done to a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -55,36 +55,36 @@
 }
 
 /// Writes and removes records for as long as the process lives.
-pub(crate) async fn run<C: Codec>(knowledge: Rc<Knowledge>) {
-    let mut store = knowledge.store::<C>();
+pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>) {
+    let mut store = shared.store::<C>();
     loop {
-        let write = knowledge.records.next().await;
-        while let Err(error) = carry_out(&knowledge, &mut store, write).await {
+        let write = shared.records.next().await;
+        while let Err(error) = carry_out(&shared, &mut store, write).await {
             tracing::warn!(?write, %error, "record not written yet");
-            knowledge.store_fails(Kind::Entries, &error, clock::now());
-            knowledge.turn().await;
+            shared.note_store_failure(Kind::Entries, &error, clock::now());
+            shared.wait_for_store_slot().await;
         }
     }
 }
 
 async fn carry_out<C: Codec>(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     store: &mut Store<C>,
     write: Write,
 ) -> Result<(), Error> {
     let done = match write {
         Write::Keep(content) => {
-            keep(knowledge, store, content).await?;
+            keep(shared, store, content).await?;
             "record of a held request kept"
         }
         Write::Erase(content) => {
-            done_before(store.release(content).await)?;
+            accept_already_done(store.remove_quarantine(content).await)?;
             "record of a held request removed"
         }
         // Another one may have begun meanwhile.
-        Write::Settle(era) if era != knowledge.eras.current() => return Ok(()),
+        Write::Settle(era) if era != shared.eras.current() => return Ok(()),
         Write::Settle(era) => {
-            store.settle(era).await?;
+            store.write_settled_era(era).await?;
             "record of a settled era kept"
         }
     };
@@ -93,23 +93,27 @@
 }
 
 async fn keep<C: Codec>(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     store: &mut Store<C>,
     content: Content,
 ) -> Result<(), Error> {
-    let left = knowledge.quarantine.borrow().holds(content, clock::now());
+    let left = shared.quarantine.borrow().holds(content, clock::now());
     // It may have been cleared meanwhile.
     let Some(left) = left else {
         return Ok(());
     };
     let until = clock::wall() + left;
-    done_before(store.hold(&Hold { content, until }).await)?;
-    knowledge.quarantine.borrow_mut().check(content, true);
+    accept_already_done(
+        store
+            .create_quarantine(&QuarantineRecord { content, until })
+            .await,
+    )?;
+    shared.quarantine.borrow_mut().check(content, true);
     Ok(())
 }
 
 /// Takes it for done if another entry was first.
-fn done_before(result: Result<(), Error>) -> Result<(), Error> {
+fn accept_already_done(result: Result<(), Error>) -> Result<(), Error> {
     match result {
         Err(Error::Refused(StatusCode::CONFLICT | StatusCode::NOT_FOUND)) => Ok(()),
         result => result,
--- a/crates/gateway/src/regions.rs
+++ b/crates/gateway/src/regions.rs
@@ -14,7 +14,7 @@
     /// Tells whether a data centre stands in one of some regions. One that is in no known
     /// region doesn't.
     #[must_use]
-    pub fn are_home<S: AsRef<str>>(&self, regions: &[S], data_centre: &str) -> bool {
+    pub fn any_contains<S: AsRef<str>>(&self, regions: &[S], data_centre: &str) -> bool {
         let region = self.by_data_centre.get(data_centre);
         region.is_some_and(|region| regions.iter().any(|home| home.as_ref() == region))
     }
@@ -23,7 +23,7 @@
     #[must_use]
     pub fn data_centres<S: AsRef<str>>(&self, regions: &[S]) -> Vec<name::DataCentre> {
         let names = self.by_data_centre.keys();
-        let home = names.filter(|data_centre| self.are_home(regions, data_centre));
+        let home = names.filter(|data_centre| self.any_contains(regions, data_centre));
         home.map(|data_centre| name::DataCentre::new(data_centre.clone()))
             .collect()
     }
--- a/crates/gateway/src/registration.rs
+++ b/crates/gateway/src/registration.rs
@@ -6,7 +6,7 @@
 use cactusnotch_base::clock;
 use rand::Rng;
 
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::store::{Codec, Kind};
 
 /// The time over which entries register themselves anew once the store came back from an older
@@ -15,44 +15,44 @@
 /// When entries are listed: soon after the start, when all have registered,
 /// and then rarely, since entries also make themselves known to each other. A
 /// stale listing costs a tenth of a call.
-const ENTRIES_FIRST: Duration = Duration::from_millis(600);
-const ENTRIES_EVERY: Duration = Duration::from_secs(12);
+const ENTRIES_DELAY: Duration = Duration::from_millis(600);
+const ENTRIES_INTERVAL: Duration = Duration::from_secs(12);
 
 /// Makes this entry known to the others, and again whenever the store may have lost that.
-pub(crate) async fn run<C: Codec>(knowledge: Rc<Knowledge>) {
-    let mut store = knowledge.store::<C>();
+pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>) {
+    let mut store = shared.store::<C>();
     loop {
-        let entry = knowledge.entry();
-        let era = knowledge.eras.current();
+        let entry = shared.entry();
+        let era = shared.eras.current();
         if let Err(error) = store.register(&entry).await {
             tracing::warn!(%error, "entry not registered yet");
-            knowledge.store_fails(Kind::Entries, &error, clock::now());
-            knowledge.turn().await;
+            shared.note_store_failure(Kind::Entries, &error, clock::now());
+            shared.wait_for_store_slot().await;
             continue;
         }
         tracing::info!(host = entry.host, era = era.0, "entry registered");
-        knowledge.store_answers(Kind::Entries, clock::now());
-        while era == knowledge.eras.current() {
+        shared.note_store_answer(Kind::Entries, clock::now());
+        while era == shared.eras.current() {
             tokio::select! {
-                () = knowledge.eras.changed() => {}
-                () = knowledge.unregistered.notified() => break,
+                () = shared.eras.changed() => {}
+                () = shared.unregistered.notified() => break,
             }
         }
-        let jitter: f64 = knowledge.rng.borrow_mut().random();
+        let jitter: f64 = shared.rng.borrow_mut().random();
         tokio::time::sleep(REGISTER_SPREAD.mul_f64(jitter)).await;
-        if knowledge.stopping.get().is_some() {
+        if shared.stopping.get().is_some() {
             return;
         }
     }
 }
 
 /// Lists the other entries now and then.
-pub(crate) async fn list<C: Codec>(knowledge: Rc<Knowledge>) {
-    let mut store = knowledge.store::<C>();
+pub(crate) async fn list<C: Codec>(shared: Rc<SharedState>) {
+    let mut store = shared.store::<C>();
     tokio::select! {
-        () = tokio::time::sleep(ENTRIES_FIRST) => {}
+        () = tokio::time::sleep(ENTRIES_DELAY) => {}
         // The listing has the record that tells whether the era of the store is young.
-        () = knowledge.unsettled.notified() => {}
+        () = shared.unsettled.notified() => {}
     }
     // Those that have just registered are missing from a stale listing.
     let mut stale = false;
@@ -63,24 +63,24 @@
         {
             Ok(listing) => {
                 let now = clock::now();
-                knowledge.store_answers(Kind::Entries, now);
-                knowledge.replace(Kind::Entries, listing.changes, listing.position, now);
+                shared.note_store_answer(Kind::Entries, now);
+                shared.replace(Kind::Entries, listing.changes, listing.position, now);
             }
             Err(error) => {
                 tracing::warn!(%error, "entries not listed");
-                knowledge.store_fails(Kind::Entries, &error, clock::now());
-                knowledge.turn().await;
+                shared.note_store_failure(Kind::Entries, &error, clock::now());
+                shared.wait_for_store_slot().await;
                 continue;
             }
         }
-        let first = knowledge.peers.borrow().ready_before(clock::now()) == 0;
+        let first = shared.peers.borrow().ready_before(clock::now()) == 0;
         tokio::select! {
             // It writes what is missing then for all of its data centre.
-            () = knowledge.eras.changed(), if first => {
+            () = shared.eras.changed(), if first => {
                 tokio::time::sleep(REGISTER_SPREAD).await;
                 stale = false;
             }
-            () = tokio::time::sleep(ENTRIES_EVERY) => {}
+            () = tokio::time::sleep(ENTRIES_INTERVAL) => {}
         }
     }
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -7,7 +7,7 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::options::Options;
 
 /// How often settings are read without a signal; they may change silently, and
@@ -32,19 +32,19 @@
 
 /// Takes new settings in whenever `read` returns other ones.
 pub(crate) async fn run<E: Display>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     read: impl Fn() -> Result<Options, E>,
 ) -> io::Result<()> {
     let mut failing = false;
     watch(|signalled| {
         let read = read();
         match &read {
-            Ok(new) if *new == *knowledge.options() => {
+            Ok(new) if *new == *shared.options() => {
                 if signalled {
                     tracing::info!("reload asked for, settings are the same");
                 }
             }
-            Ok(new) => take(&knowledge, new.clone()),
+            Ok(new) => take(&shared, new.clone()),
             Err(error) if signalled || !failing => {
                 tracing::error!(%error, "settings not taken, the last good ones stay");
             }
@@ -55,8 +55,8 @@
     .await
 }
 
-fn take(knowledge: &Knowledge, new: Options) {
-    let old = knowledge.options();
+fn take(shared: &SharedState, new: Options) {
+    let old = shared.options();
     let moved = old.listen != new.listen
         || old.readiness != new.readiness
         || old.directory != new.directory
@@ -66,5 +66,5 @@
         tracing::warn!("new addresses are used from the next start on");
     }
     tracing::info!(grace = ?new.grace, revocation = ?new.revocation, retry_ratio = new.retry_ratio, "settings reloaded");
-    knowledge.set_options(new);
+    shared.set_options(new);
 }
--- a/crates/gateway/src/renewal.rs
+++ b/crates/gateway/src/renewal.rs
@@ -5,50 +5,50 @@
 
 use cactusnotch_base::clock;
 
-use crate::knowledge::Knowledge;
-use crate::store::{Codec, Error, Kind, Store, Watched};
+use crate::knowledge::SharedState;
+use crate::store::{Codec, Error, Kind, Store, WatchAnswer};
 use crate::watcher::NO_WAIT;
 
 /// How often the age of the proof is looked at.
-const PROOF_LOOK: Duration = Duration::from_millis(150);
+const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
 /// Keeps the proof of the configuration fresh, by own calls or by those of
 /// other entries.
-pub(crate) async fn run<C: Codec>(knowledge: Rc<Knowledge>) {
-    let mut store = knowledge.store::<C>();
+pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>) {
+    let mut store = shared.store::<C>();
     loop {
-        tokio::time::sleep(PROOF_LOOK).await;
-        knowledge.wake.look();
+        tokio::time::sleep(CHECK_INTERVAL).await;
+        shared.wake.look();
         let now = clock::now();
-        if !knowledge.needs_proof(now) {
+        if !shared.needs_confirmation(now) {
             continue;
         }
-        if knowledge.link.borrow_mut().wait(now).is_some() {
+        if shared.link.borrow_mut().wait(now).is_some() {
             continue;
         }
-        match renew(&knowledge, &mut store).await {
-            Ok(()) => knowledge.store_answers(Kind::Configuration, clock::now()),
+        match renew(&shared, &mut store).await {
+            Ok(()) => shared.note_store_answer(Kind::Configuration, clock::now()),
             Err(error) => {
-                knowledge.store_fails(Kind::Configuration, &error, clock::now());
+                shared.note_store_failure(Kind::Configuration, &error, clock::now());
             }
         }
     }
 }
 
-async fn renew<C: Codec>(knowledge: &Knowledge, store: &mut Store<C>) -> Result<(), Error> {
+async fn renew<C: Codec>(shared: &SharedState, store: &mut Store<C>) -> Result<(), Error> {
     let kind = Kind::Configuration;
     let asked = clock::now();
-    let from = knowledge.position.get();
-    let watched = if from.era() == knowledge.eras.current() {
+    let from = shared.position.get();
+    let watched = if from.era() == shared.eras.current() {
         store.watch(kind, from, NO_WAIT).await
     } else {
         Err(Error::HistoryGone)
     };
     let answer = match watched {
         Err(Error::HistoryGone) => store.list(kind, false).await?,
-        Ok(Watched { answer, body }) => {
+        Ok(WatchAnswer { answer, body }) => {
             if !answer.changes.is_empty() {
-                knowledge.handout.set(answer.position.era(), body);
+                shared.configuration_cache.set(answer.position.era(), body);
             }
             answer
         }
@@ -56,8 +56,8 @@
     };
     let now = clock::now();
     for change in answer.changes {
-        knowledge.apply(kind, change, answer.position, now);
+        shared.apply(kind, change, answer.position, now);
     }
-    knowledge.prove(answer.position, asked);
+    shared.confirm_configuration(answer.position, asked);
     Ok(())
 }
--- a/crates/gateway/src/complaints.rs
+++ b/crates/gateway/src/reported.rs
@@ -8,12 +8,12 @@
 /// Objects are seen again with each listing; each is told of once for each reason, and
 /// none any more once too many were.
 #[derive(Debug, Default)]
-pub(crate) struct Complaints {
+pub(crate) struct ReportedErrors {
     /// Names with what was wrong, sorted.
     known: Vec<(String, String)>,
 }
 
-impl Complaints {
+impl ReportedErrors {
     /// Tells whether an object has to be told of, and remembers it if so.
     pub(crate) fn is_new(&mut self, name: &str, detail: &str) -> bool {
         let key =
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -46,7 +46,7 @@
     pub(crate) service: String,
     pub(crate) organisation: Option<Organisation>,
     /// The regions whose endpoints may get it, `None` for all.
-    pub(crate) homes: Option<Vec<String>>,
+    pub(crate) allowed_regions: Option<Vec<String>>,
 }
 
 /// A caller's request, read whole and judged.
@@ -88,9 +88,9 @@
         None => return Err(Refusal::NoKey),
     };
     let service = route.service(draw).ok_or(Refusal::NoRoute)?;
-    let bound = organisation.map_or_else(Vec::new, |o| o.homes.clone());
+    let bound = organisation.map_or_else(Vec::new, |o| o.allowed_regions.clone());
     Ok(Judged {
-        homes: both(&route.homes, &bound),
+        allowed_regions: both(&route.allowed_regions, &bound),
         service: service.to_owned(),
         organisation: organisation.cloned(),
         route: route.clone(),
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -52,7 +52,7 @@
     /// Whether requests need no key.
     pub anonymous: bool,
     /// The regions whose endpoints may get its requests, none for all regions.
-    pub homes: Vec<String>,
+    pub allowed_regions: Vec<String>,
     /// The services that take its requests.
     pub backends: Vec<Backend>,
 }
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -12,7 +12,7 @@
 use crate::admission::Forecast;
 use crate::crash::Cut;
 use crate::journal::millis;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 
 /// How long after its first piece a run has shown that it does no harm: two passes of the
 /// longest that streams on time allow. Endpoints that a request ends do so 50 ms after they
@@ -22,7 +22,7 @@
 /// An endpoint that holds the request, counted there until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Running {
-    pub(crate) knowledge: Rc<Knowledge>,
+    pub(crate) shared: Rc<SharedState>,
     /// The request's id, for the log.
     pub(crate) id: Option<String>,
     pub(crate) service: String,
@@ -44,7 +44,7 @@
         self.pieces += 1;
         if self.pieces == 1 {
             self.first = self.sent.map(|sent| now.saturating_duration_since(sent));
-            self.knowledge
+            self.shared
                 .fleet
                 .borrow_mut()
                 .first_piece(&self.service, &mut self.attempt, now);
@@ -110,7 +110,7 @@
     fn drop(&mut self) {
         let now = clock::now();
         self.log(now);
-        let mut fleet = self.knowledge.fleet.borrow_mut();
+        let mut fleet = self.shared.fleet.borrow_mut();
         fleet.finish(&self.service, &self.attempt, self.end, now);
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -19,7 +19,7 @@
 
 use crate::connection;
 use crate::dialect::{Dialect, Question};
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::tcp;
 
 /// How long callers keep a list of addresses: short, so that they leave a
@@ -50,24 +50,24 @@
 
 /// Serves callers' requests.
 pub(crate) async fn callers<D: Dialect>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     listener: TcpListener,
     closing: watch::Receiver<bool>,
 ) {
     accept(listener, |stream| {
-        let limits = knowledge
+        let limits = shared
             .configuration()
             .map(|configuration| configuration.limits);
-        connection::serve::<D>(Rc::clone(&knowledge), stream, limits, closing.clone())
+        connection::serve::<D>(Rc::clone(&shared), stream, limits, closing.clone())
     })
     .await;
 }
 
 /// Answers questions for readiness and for addresses.
-pub(crate) async fn questions<D: Dialect>(knowledge: Rc<Knowledge>, listener: TcpListener) {
+pub(crate) async fn questions<D: Dialect>(shared: Rc<SharedState>, listener: TcpListener) {
     accept(listener, |stream| {
-        let knowledge = Rc::clone(&knowledge);
-        answer(stream, move |request| question::<D>(&knowledge, request))
+        let shared = Rc::clone(&shared);
+        answer(stream, move |request| question::<D>(&shared, request))
     })
     .await;
 }
@@ -100,15 +100,15 @@
 
 /// Returns the regions whose entries a caller may be sent to, `None` for all: those of the
 /// host's routes, if any is bound to some, and the caller's own.
-fn homes(knowledge: &Knowledge, question: &Question) -> Option<Vec<String>> {
-    let configuration = knowledge.configuration()?;
-    let homes = configuration.homes(question.host.as_deref()?)?;
+fn allowed_regions(shared: &SharedState, question: &Question) -> Option<Vec<String>> {
+    let configuration = shared.configuration()?;
+    let homes = configuration.allowed_regions(question.host.as_deref()?)?;
     let homes = homes.into_iter().chain(question.region.as_deref());
     Some(homes.map(str::to_owned).collect())
 }
 
 fn question<D: Dialect>(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let now = clock::now();
@@ -118,7 +118,7 @@
         response
     };
     if D::asks_ready(request.uri()) {
-        return status(if knowledge.ready(now) {
+        return status(if shared.ready(now) {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -127,16 +127,16 @@
     let Some(question) = D::question(request.uri()) else {
         return status(StatusCode::NOT_FOUND);
     };
-    let options = knowledge.options();
-    let serving = knowledge.stopping.get().is_none() && knowledge.configuration().is_some();
-    let homes = homes(knowledge, &question);
+    let options = shared.options();
+    let serving = shared.stopping.get().is_none() && shared.configuration().is_some();
+    let homes = allowed_regions(shared, &question);
     let is_home = |data_centre: &str| {
         let regions = homes.as_ref();
-        regions.is_none_or(|homes| options.regions.are_home(homes, data_centre))
+        regions.is_none_or(|homes| options.regions.any_contains(homes, data_centre))
     };
     let own_is_home = is_home(&options.data_centre);
-    let ready = (knowledge.ready(now) && own_is_home).then_some(options.listen);
-    let peers = knowledge.peers.borrow();
+    let ready = (shared.ready(now) && own_is_home).then_some(options.listen);
+    let peers = shared.peers.borrow();
     let mut list = peers.list_within(question.data_centre.as_deref(), ready, is_home, now);
     if list.is_empty() && serving && own_is_home {
         // While the store is away no entry is ready, and each still serves
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -9,7 +9,7 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::listing;
 use crate::store::Codec;
 
@@ -28,7 +28,7 @@
 ///
 /// Returns an error if signals can't be received.
 pub(crate) async fn run<C: Codec>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     socket: Rc<UdpSocket>,
     closing: watch::Sender<bool>,
 ) -> io::Result<()> {
@@ -39,31 +39,31 @@
         _ = interrupt.recv() => {}
     }
     let began = clock::now();
-    let options = knowledge.options();
-    knowledge.stopping.set(Some(began));
-    tracing::info!(in_flight = knowledge.in_flight.get(), "stop asked for");
-    listing::announce_stop(&knowledge, &socket);
-    tokio::task::spawn_local(withdraw::<C>(Rc::clone(&knowledge)));
+    let options = shared.options();
+    shared.stopping.set(Some(began));
+    tracing::info!(in_flight = shared.in_flight.get(), "stop asked for");
+    listing::announce_stop(&shared, &socket);
+    tokio::task::spawn_local(withdraw::<C>(Rc::clone(&shared)));
     tokio::time::sleep(FAREWELL.min(options.grace / 2)).await;
-    knowledge.closing.set(true);
+    shared.closing.set(true);
     closing.send_replace(true);
     let last = began + options.grace.saturating_sub(END_MARGIN);
     tokio::time::sleep(LOOK_EVERY).await;
-    while knowledge.in_flight.get() > 0 && clock::now() < last {
+    while shared.in_flight.get() > 0 && clock::now() < last {
         tokio::time::sleep(LOOK_EVERY).await;
     }
-    tracing::info!(in_flight = knowledge.in_flight.get(), "stopped");
+    tracing::info!(in_flight = shared.in_flight.get(), "stopped");
     Ok(())
 }
 
 /// Takes this entry out of the store, and again if that came back from an older copy.
-async fn withdraw<C: Codec>(knowledge: Rc<Knowledge>) {
-    let mut store = knowledge.store::<C>();
-    let host = knowledge.entry().host;
+async fn withdraw<C: Codec>(shared: Rc<SharedState>) {
+    let mut store = shared.store::<C>();
+    let host = shared.entry().host;
     loop {
-        if let Err(error) = store.withdraw(&host).await {
+        if let Err(error) = store.deregister(&host).await {
             tracing::warn!(%error, "entry not withdrawn");
         }
-        knowledge.eras.changed().await;
+        shared.eras.changed().await;
     }
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -54,9 +54,9 @@
     /// An entry.
     Entry(Entry),
     /// A record that a request is held.
-    Hold(Hold),
+    QuarantineRecord(QuarantineRecord),
     /// The record of the newest era in which an entry has proved the configuration.
-    Settled(Era),
+    SettledEra(Era),
     /// The object's name is that of a data centre which operators have emptied.
     Evacuation,
 }
@@ -64,7 +64,7 @@
 /// A record that a request is kept from endpoints, since it ends them.
 #[record]
 #[derive(Copy)]
-pub struct Hold {
+pub struct QuarantineRecord {
     /// What all attempts of the request have in common.
     pub content: Content,
     /// Until when, by the time of day: the record outlives all steady clocks, and some
@@ -121,42 +121,42 @@
     fn remove(host: &str) -> Request<Bytes>;
 
     /// Writes the call that creates the record of a held request.
-    fn hold(hold: &Hold) -> Request<Bytes>;
+    fn create_quarantine(record: &QuarantineRecord) -> Request<Bytes>;
 
     /// Writes the call that removes the record of a held request.
-    fn release(content: Content) -> Request<Bytes>;
+    fn remove_quarantine(content: Content) -> Request<Bytes>;
 
     /// Writes the call that creates the record of a settled era.
-    fn create_settled(era: Era) -> Request<Bytes>;
+    fn create_settled_era(era: Era) -> Request<Bytes>;
 
     /// Writes the call that replaces the record of a settled era.
-    fn replace_settled(era: Era) -> Request<Bytes>;
+    fn replace_settled_era(era: Era) -> Request<Bytes>;
 
     /// Reads the era that the store states in the head of an answer, the first one if it
     /// states none; `None` if that can't be read.
     fn era(head: &HeaderMap) -> Option<Era>;
 
     /// Writes an era into the head of an answer, as the store does.
-    fn state_era(era: Era, head: &mut HeaderMap);
+    fn write_era(era: Era, head: &mut HeaderMap);
 
     /// Reads the answer to a listing, which was given in `era`.
     ///
     /// # Errors
     ///
     /// Returns why the whole answer can't be read.
-    fn listed(kind: Kind, era: Era, body: &[u8]) -> Result<Answer, Unreadable>;
+    fn parse_listing(kind: Kind, era: Era, body: &[u8]) -> Result<Answer, Unreadable>;
 
     /// Reads the answer to a watch, which was given in `era`.
     ///
     /// # Errors
     ///
     /// Returns why the whole answer can't be read.
-    fn watched(kind: Kind, era: Era, body: &[u8]) -> Result<Answer, Unreadable>;
+    fn parse_watch(kind: Kind, era: Era, body: &[u8]) -> Result<Answer, Unreadable>;
 }
 
 /// An answer to a watch, and how it was written.
 #[derive(Debug)]
-pub struct Watched {
+pub struct WatchAnswer {
     /// The answer.
     pub answer: Answer,
     /// The answer as the store wrote it, for others that need the same.
@@ -240,7 +240,7 @@
         stale: bool,
     ) -> Result<Answer, Error> {
         let (era, body) = self.call(C::list(kind, after, stale), CALL_TIMEOUT).await?;
-        C::listed(kind, era, &body).map_err(Error::Unreadable)
+        C::parse_listing(kind, era, &body).map_err(Error::Unreadable)
     }
 
     /// Waits at most `wait` for changes after `from`.
@@ -254,7 +254,7 @@
         kind: Kind,
         from: Position,
         wait: Duration,
-    ) -> Result<Watched, Error> {
+    ) -> Result<WatchAnswer, Error> {
         let watched = self
             .watched(kind, C::watch(kind, from, wait), wait + CALL_TIMEOUT)
             .await?;
@@ -271,7 +271,7 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub async fn handed_out(&mut self, kind: Kind) -> Result<Watched, Error> {
+    pub async fn fetch_cached(&mut self, kind: Kind) -> Result<WatchAnswer, Error> {
         let call = C::watch(kind, Position::default(), Duration::ZERO);
         self.watched(kind, call, CALL_TIMEOUT).await
     }
@@ -281,10 +281,10 @@
         kind: Kind,
         call: Request<Bytes>,
         limit: Duration,
-    ) -> Result<Watched, Error> {
+    ) -> Result<WatchAnswer, Error> {
         let (era, body) = self.call(call, limit).await?;
-        let answer = C::watched(kind, era, &body).map_err(Error::Unreadable)?;
-        Ok(Watched { answer, body })
+        let answer = C::parse_watch(kind, era, &body).map_err(Error::Unreadable)?;
+        Ok(WatchAnswer { answer, body })
     }
 
     /// Makes an entry known, also if a former one stands there.
@@ -301,8 +301,8 @@
     /// # Errors
     ///
     /// Returns why it could not be written; it may be written all the same.
-    pub async fn settle(&mut self, era: Era) -> Result<(), Error> {
-        self.put(C::create_settled(era), C::replace_settled(era))
+    pub async fn write_settled_era(&mut self, era: Era) -> Result<(), Error> {
+        self.put(C::create_settled_era(era), C::replace_settled_era(era))
             .await
     }
 
@@ -321,7 +321,7 @@
     /// # Errors
     ///
     /// Returns why it could not be removed; it may be removed all the same.
-    pub async fn withdraw(&mut self, host: &str) -> Result<(), Error> {
+    pub async fn deregister(&mut self, host: &str) -> Result<(), Error> {
         self.call(C::remove(host), CALL_TIMEOUT).await.map(drop)
     }
 
@@ -330,8 +330,10 @@
     /// # Errors
     ///
     /// Returns why it could not be written; it may be written all the same.
-    pub async fn hold(&mut self, hold: &Hold) -> Result<(), Error> {
-        self.call(C::hold(hold), CALL_TIMEOUT).await.map(drop)
+    pub async fn create_quarantine(&mut self, record: &QuarantineRecord) -> Result<(), Error> {
+        self.call(C::create_quarantine(record), CALL_TIMEOUT)
+            .await
+            .map(drop)
     }
 
     /// Removes the record of a held request.
@@ -339,8 +341,10 @@
     /// # Errors
     ///
     /// Returns why it could not be removed; it may be removed all the same.
-    pub async fn release(&mut self, content: Content) -> Result<(), Error> {
-        self.call(C::release(content), CALL_TIMEOUT).await.map(drop)
+    pub async fn remove_quarantine(&mut self, content: Content) -> Result<(), Error> {
+        self.call(C::remove_quarantine(content), CALL_TIMEOUT)
+            .await
+            .map(drop)
     }
 
     /// Makes a call; returns the body of a success and the era in which it was given.
@@ -356,8 +360,8 @@
         if self.eras.see(era, now) == Seen::Ended {
             return Err(Error::EraEnded);
         }
-        let is_away = status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS;
-        if !is_away {
+        let is_unavailable = status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS;
+        if !is_unavailable {
             self.eras.serve(now);
         }
         match status {
--- a/crates/gateway/src/watcher.rs
+++ b/crates/gateway/src/watcher.rs
@@ -9,9 +9,9 @@
 use tokio::net::UdpSocket;
 
 use crate::endpoint::Endpoint;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::listing;
-use crate::store::{Change, Codec, Error, Item, Kind, Store, Watched};
+use crate::store::{Change, Codec, Error, Item, Kind, Store, WatchAnswer};
 
 /// The longest wait of one watch. A store that turns a host away may leave a
 /// watch hanging and the connection sound; calls that don't wait show that, so
@@ -19,23 +19,23 @@
 const WATCH_MAX: Duration = Duration::from_secs(20);
 /// How long after its start an entry doesn't watch: until then it doesn't know
 /// the others, and all that start together would.
-const ACQUAINTED: Duration = Duration::from_millis(1_500);
+const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
 /// How often an entry that is told by others looks whether it is to watch.
-const ROLE_LOOK: Duration = Duration::from_millis(600);
+const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(600);
 /// How often an entry that is told of evacuations by others looks whether they still confirm
 /// them.
-const CONFIRM_LOOK: Duration = Duration::from_millis(200);
+const CONFIRM_CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The wait of a watch that is only to prove what is known.
 pub(crate) const NO_WAIT: Duration = Duration::from_millis(1);
 /// The least time between two watches of a kind. A watch returns with the
 /// first change, and when many endpoints come at once each would be a call of
 /// its own; within this time they come together. It is far below the time
 /// within which a change has to be in force.
-const WATCH_EVERY: Duration = Duration::from_millis(250);
+const WATCH_INTERVAL_MIN: Duration = Duration::from_millis(250);
 /// The time over which entries that hear of a newer configuration fetch it. One with 1,400
 /// routes has some 0.4 MB (worked out), which an entry's link of 40 Mbit/s carries in a tenth
 /// of a second; it has to be in force within two seconds.
-const HANDOUT_SPREAD: Duration = Duration::from_millis(400);
+const FETCH_SPREAD: Duration = Duration::from_millis(400);
 /// The time over which entries list endpoints anew once the store came back from an older
 /// copy. With the time to notice it they are known within the three seconds that an entry has
 /// to know which have left, and 380 entries with a thousand endpoints stay within the calls
@@ -43,9 +43,9 @@
 const RELIST_SPREAD: Duration = Duration::from_secs(1);
 
 /// Follows the objects of `kind` for as long as the process lives.
-pub(crate) async fn run<C: Codec>(knowledge: Rc<Knowledge>, socket: Rc<UdpSocket>, kind: Kind) {
-    let mut watching = knowledge.store::<C>();
-    let mut follower = Follower::<C>::new(&knowledge, &socket, kind);
+pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>, socket: Rc<UdpSocket>, kind: Kind) {
+    let mut watching = shared.store::<C>();
+    let mut follower = Follower::<C>::new(&shared, &socket, kind);
     loop {
         let step = if follower.listed {
             follower.follow(&mut watching).await
@@ -56,10 +56,10 @@
             Ok(()) => {}
             Err(Error::HistoryGone) => {
                 tracing::info!(%kind, "changes are gone from the store, listing anew");
-                knowledge.store_answers(kind, clock::now());
+                shared.note_store_answer(kind, clock::now());
                 follower.listed = false;
             }
-            Err(error) => knowledge.store_fails(kind, &error, clock::now()),
+            Err(error) => shared.note_store_failure(kind, &error, clock::now()),
         }
     }
 }
@@ -67,7 +67,7 @@
 /// Follows the objects of one kind: by a watch, if it is this entry that does so
 /// for its data centre, and else by what others tell.
 struct Follower<'a, C> {
-    knowledge: &'a Knowledge,
+    shared: &'a SharedState,
     socket: &'a UdpSocket,
     kind: Kind,
     /// For calls that don't wait, while a watch may be waiting.
@@ -78,12 +78,12 @@
 }
 
 impl<'a, C: Codec> Follower<'a, C> {
-    fn new(knowledge: &'a Knowledge, socket: &'a UdpSocket, kind: Kind) -> Self {
+    fn new(shared: &'a SharedState, socket: &'a UdpSocket, kind: Kind) -> Self {
         Self {
-            knowledge,
+            shared,
             socket,
             kind,
-            store: knowledge.store(),
+            store: shared.store(),
             listed: false,
             started: clock::now(),
         }
@@ -92,61 +92,61 @@
     /// Goes on from what is known, by one answer of the store or some time.
     async fn follow(&mut self, watching: &mut Store<C>) -> Result<(), Error> {
         if self.kind != Kind::Configuration && self.is_outdated() {
-            self.wait_for_place().await;
+            self.wait_for_relist_slot().await;
             self.listed = false;
             return Ok(());
         }
-        if self.knowledge.link.borrow().is_lost() {
-            self.knowledge.turn().await;
+        if self.shared.link.borrow().is_lost() {
+            self.shared.wait_for_store_slot().await;
             return self.catch_up().await.map(drop);
         }
-        let acquainted = self.started.elapsed() >= ACQUAINTED;
-        if acquainted && self.watches() {
+        let has_discovered = self.started.elapsed() >= DISCOVERY_TIME;
+        if has_discovered && self.watches() {
             self.watch(watching).await
         } else {
-            self.listen().await
+            self.follow_peers().await
         }
     }
 
     /// Tells whether this entry watches for others.
     fn watches(&self) -> bool {
         match self.kind {
-            Kind::Evacuations => self.knowledge.watches_evacuations(clock::now()),
-            _ => self.knowledge.watches(clock::now()),
+            Kind::Evacuations => self.shared.watches_evacuations(clock::now()),
+            _ => self.shared.watches(clock::now()),
         }
     }
 
     /// Tells whether what is known was read in an era of the store that has ended, or may
     /// have been.
     fn is_outdated(&self) -> bool {
-        let eras = &self.knowledge.eras;
+        let eras = &self.shared.eras;
         self.known().era() != eras.current() || eras.is_in_doubt()
     }
 
     /// Waits until it is this entry's turn to list what others list too: those that watch for
     /// others go first.
-    async fn wait_for_place(&self) {
-        if self.knowledge.watches(clock::now()) {
+    async fn wait_for_relist_slot(&self) {
+        if self.shared.watches(clock::now()) {
             return;
         }
-        let jitter: f64 = self.knowledge.rng.borrow_mut().random();
+        let jitter: f64 = self.shared.rng.borrow_mut().random();
         tokio::time::sleep(RELIST_SPREAD.mul_f64(jitter)).await;
     }
 
     async fn list(&mut self) -> Result<(), Error> {
-        self.knowledge.turn().await;
+        self.shared.wait_for_store_slot().await;
         let asked = clock::now();
         let listing = self.store.list(self.kind, false).await?;
         let now = clock::now();
-        self.knowledge.store_answers(self.kind, now);
+        self.shared.note_store_answer(self.kind, now);
         let position = listing.position;
         if position < self.known() {
             // Others have told more meanwhile.
             return Ok(());
         }
-        self.knowledge
+        self.shared
             .replace(self.kind, listing.changes, position, now);
-        self.note(position, asked);
+        self.record_position(position, asked);
         self.listed = true;
         Ok(())
     }
@@ -154,21 +154,21 @@
     /// Returns the position up to which the objects are known.
     fn known(&self) -> Position {
         match self.kind {
-            Kind::Endpoints => self.knowledge.news.progress().known(),
-            Kind::Configuration | Kind::Entries => self.knowledge.position.get(),
-            Kind::Evacuations => self.knowledge.evacuations.borrow().position(),
+            Kind::Endpoints => self.shared.lag.progress().known(),
+            Kind::Configuration | Kind::Entries => self.shared.position.get(),
+            Kind::Evacuations => self.shared.evacuations.borrow().position(),
         }
     }
 
     /// Notes that the objects are known up to `position`, by an answer to what
     /// was asked at `asked`.
-    fn note(&self, position: Position, asked: Instant) {
+    fn record_position(&self, position: Position, asked: Instant) {
         match self.kind {
-            Kind::Endpoints => self.knowledge.news.know(position),
-            Kind::Configuration => self.knowledge.prove(position, asked),
+            Kind::Endpoints => self.shared.lag.advance(position),
+            Kind::Configuration => self.shared.confirm_configuration(position, asked),
             Kind::Entries => {}
             Kind::Evacuations => {
-                let mut evacuations = self.knowledge.evacuations.borrow_mut();
+                let mut evacuations = self.shared.evacuations.borrow_mut();
                 evacuations.confirm(position, asked);
             }
         }
@@ -176,10 +176,10 @@
 
     /// Tells whether others have told all that is in an answer for the changes
     /// after `from` up to `to`, and maybe more, which it would take back.
-    fn is_outrun(&self, from: Position, to: Position) -> bool {
+    fn is_superseded(&self, from: Position, to: Position) -> bool {
         match self.kind {
             Kind::Endpoints => {
-                let progress = self.knowledge.news.progress();
+                let progress = self.shared.lag.progress();
                 progress.known() != to && !progress.continues(from, to)
             }
             Kind::Evacuations => to < self.known(),
@@ -199,13 +199,13 @@
         loop {
             tokio::select! {
                 answer = &mut waiting => {
-                    if self.take(from, answer?, asked) {
-                        tokio::time::sleep(WATCH_EVERY.saturating_sub(asked.elapsed())).await;
+                    if self.apply(from, answer?, asked) {
+                        tokio::time::sleep(WATCH_INTERVAL_MIN.saturating_sub(asked.elapsed())).await;
                     }
                     return Ok(());
                 }
-                () = self.knowledge.eras.changed() => return Ok(()),
-                () = news(self.knowledge, self.kind) => {
+                () = self.shared.eras.changed() => return Ok(()),
+                () = wait_for_changes(self.shared, self.kind) => {
                     if self.catch_up().await? {
                         tracing::info!(kind = %self.kind, "a watch missed changes, watching anew");
                         return Ok(());
@@ -216,61 +216,60 @@
     }
 
     /// Waits for what others tell, and asks the store if they tell too little.
-    async fn listen(&mut self) -> Result<(), Error> {
+    async fn follow_peers(&mut self) -> Result<(), Error> {
         if self.kind == Kind::Evacuations {
-            return self.listen_to_evacuations().await;
+            return self.follow_peer_evacuations().await;
         }
         tokio::select! {
-            () = news(self.knowledge, self.kind) => {
-                if self.kind == Kind::Configuration && self.take_from_another().await {
+            () = wait_for_changes(self.shared, self.kind) => {
+                if self.kind == Kind::Configuration && self.fetch_from_peer().await {
                     return Ok(());
                 }
                 self.catch_up().await.map(drop)
             }
-            () = self.knowledge.eras.changed() => Ok(()),
-            () = tokio::time::sleep(ROLE_LOOK) => Ok(()),
+            () = self.shared.eras.changed() => Ok(()),
+            () = tokio::time::sleep(ROLE_CHECK_INTERVAL) => Ok(()),
         }
     }
 
     /// Waits for what others tell of evacuations, and asks the store if they confirm nothing.
-    async fn listen_to_evacuations(&mut self) -> Result<(), Error> {
-        if self.knowledge.needs_confirmation(clock::now()) {
+    async fn follow_peer_evacuations(&mut self) -> Result<(), Error> {
+        if self.shared.evacuations_need_confirmation(clock::now()) {
             return self.catch_up().await.map(drop);
         }
         tokio::select! {
-            () = self.knowledge.eras.changed() => {}
-            () = tokio::time::sleep(CONFIRM_LOOK) => {}
+            () = self.shared.eras.changed() => {}
+            () = tokio::time::sleep(CONFIRM_CHECK_INTERVAL) => {}
         }
         Ok(())
     }
 
     /// Takes a newer configuration from the entry that has told of it; returns whether it
     /// is known then. It proves nothing: proofs count for the version that they name.
-    async fn take_from_another(&mut self) -> bool {
-        let jitter: f64 = self.knowledge.rng.borrow_mut().random();
+    async fn fetch_from_peer(&mut self) -> bool {
+        let jitter: f64 = self.shared.rng.borrow_mut().random();
         // Many hear of it at once, and those that have it by then pass it on as well.
-        tokio::time::sleep(HANDOUT_SPREAD.mul_f64(jitter)).await;
-        let Some((version, from)) = self.knowledge.news.newest() else {
+        tokio::time::sleep(FETCH_SPREAD.mul_f64(jitter)).await;
+        let Some((version, from)) = self.shared.lag.newest() else {
             return false;
         };
         // It may have been given in another era; of versions the larger is always the newer.
         let mut other = Store::<C>::new(from, Rc::default());
-        match other.handed_out(self.kind).await {
-            Ok(Watched { answer, body }) => {
+        match other.fetch_cached(self.kind).await {
+            Ok(WatchAnswer { answer, body }) => {
                 let now = clock::now();
                 let era = answer.position.era();
                 for change in answer.changes {
-                    self.knowledge
-                        .apply(self.kind, change, answer.position, now);
+                    self.shared.apply(self.kind, change, answer.position, now);
                 }
-                self.knowledge.handout.set(era, body);
-                let position = self.knowledge.position.get().newest(answer.position);
-                self.knowledge.position.set(position);
-                listing::announce(self.knowledge, self.socket);
+                self.shared.configuration_cache.set(era, body);
+                let position = self.shared.position.get().newest(answer.position);
+                self.shared.position.set(position);
+                listing::announce(self.shared, self.socket);
             }
             Err(error) => tracing::info!(%from, %error, "configuration not had from another entry"),
         }
-        self.knowledge.has_version(version)
+        self.shared.has_version(version)
     }
 
     /// Asks for the changes since what is known; returns whether there are any.
@@ -281,37 +280,38 @@
         }
         let (from, asked) = (self.known(), clock::now());
         let answer = self.store.watch(self.kind, from, NO_WAIT).await?;
-        Ok(self.take(from, answer, asked))
+        Ok(self.apply(from, answer, asked))
     }
 
     /// Takes the changes after `from` and passes them on; returns whether there
     /// are any.
-    fn take(&mut self, from: Position, watched: Watched, asked: Instant) -> bool {
+    fn apply(&mut self, from: Position, watched: WatchAnswer, asked: Instant) -> bool {
         let now = clock::now();
-        self.knowledge.store_answers(self.kind, now);
-        let Watched { answer, body } = watched;
+        self.shared.note_store_answer(self.kind, now);
+        let WatchAnswer { answer, body } = watched;
         let changed = !answer.changes.is_empty();
-        if self.is_outrun(from, answer.position) {
+        if self.is_superseded(from, answer.position) {
             return changed;
         }
         let endpoints = endpoints(&answer.changes);
         for change in answer.changes {
-            self.knowledge
-                .apply(self.kind, change, answer.position, now);
+            self.shared.apply(self.kind, change, answer.position, now);
         }
-        self.note(answer.position, asked);
+        self.record_position(answer.position, asked);
         match self.kind {
-            Kind::Endpoints if self.knowledge.watches(now) => {
-                let passed_on = self
-                    .knowledge
-                    .passed_on(from, answer.position, endpoints, now);
-                listing::pass_on(self.knowledge, self.socket, passed_on);
+            Kind::Endpoints if self.shared.watches(now) => {
+                let changes_for_peers =
+                    self.shared
+                        .changes_for_peers(from, answer.position, endpoints, now);
+                listing::pass_on(self.shared, self.socket, changes_for_peers);
             }
             Kind::Configuration if changed => {
-                self.knowledge.handout.set(answer.position.era(), body);
-                listing::announce(self.knowledge, self.socket);
+                self.shared
+                    .configuration_cache
+                    .set(answer.position.era(), body);
+                listing::announce(self.shared, self.socket);
             }
-            Kind::Evacuations if changed => listing::announce(self.knowledge, self.socket),
+            Kind::Evacuations if changed => listing::announce(self.shared, self.socket),
             _ => {}
         }
         changed
@@ -320,11 +320,11 @@
 
 /// Waits for a sign that the store has objects of `kind` that aren't known, or that what is
 /// known has to be confirmed.
-async fn news(knowledge: &Knowledge, kind: Kind) {
+async fn wait_for_changes(shared: &SharedState, kind: Kind) {
     match kind {
-        Kind::Endpoints => knowledge.news.behind().await,
-        Kind::Configuration | Kind::Entries => knowledge.news.outdated().await,
-        Kind::Evacuations => tokio::time::sleep(knowledge.evacuation_proof()).await,
+        Kind::Endpoints => shared.lag.wait_behind().await,
+        Kind::Configuration | Kind::Entries => shared.lag.wait_outdated().await,
+        Kind::Evacuations => tokio::time::sleep(shared.evacuation_check_interval()).await,
     }
 }
 
--- a/crates/gateway/tests/absence.rs
+++ b/crates/gateway/tests/absence.rs
@@ -4,40 +4,43 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock;
-use cactusnotch_gateway::absence::{Absence, NOTICE_MAX, RETURN_TIME};
+use cactusnotch_gateway::outage::{DETECTION_DELAY_MAX, Outage, REREGISTRATION_TIME};
 
 /// The time from a sound way to the store until leaving endpoints must be known.
 const IN_TOUCH: Duration = Duration::from_secs(3);
 
 #[test]
 fn an_endpoint_that_is_missing_without_an_outage_is_gone() {
-    assert_eq!(Absence::default().kept_until(clock::now()), None);
+    assert_eq!(Outage::default().kept_until(clock::now()), None);
 }
 
 #[test]
 fn an_endpoint_that_the_store_lost_is_kept_for_a_while_after_its_return() {
     let returned = clock::now();
-    let mut absence = Absence::default();
-    absence.end(returned);
-    assert_eq!(absence.kept_until(returned), Some(returned + RETURN_TIME));
-    let late = returned + RETURN_TIME;
-    assert_eq!(absence.kept_until(late), None, "it hasn't come back");
+    let mut outage = Outage::default();
+    outage.end(returned);
+    assert_eq!(
+        outage.kept_until(returned),
+        Some(returned + REREGISTRATION_TIME)
+    );
+    let late = returned + REREGISTRATION_TIME;
+    assert_eq!(outage.kept_until(late), None, "it hasn't come back");
 }
 
 #[test]
 fn an_endpoint_that_leaves_at_any_moment_is_not_used_beyond_its_bound() {
     let bound = Duration::from_secs(2);
     let sound = clock::now();
-    for late in (0..=NOTICE_MAX.as_millis()).step_by(50) {
+    for late in (0..=DETECTION_DELAY_MAX.as_millis()).step_by(50) {
         let late = Duration::from_millis(u64::try_from(late).expect("small"));
         let returned = sound + late;
-        let mut absence = Absence::default();
-        absence.end(returned);
+        let mut outage = Outage::default();
+        outage.end(returned);
         for left in (0..4_000).step_by(50) {
             let left = sound + Duration::from_millis(left);
             // It is seen at once, or with the first answer after the outage.
             let seen = left.max(returned);
-            let used = absence.kept_until(seen).unwrap_or(seen);
+            let used = outage.kept_until(seen).unwrap_or(seen);
             let allowed = (left + bound).max(sound + IN_TOUCH);
             assert!(
                 used <= allowed,
--- a/crates/gateway/tests/asleep.rs
+++ b/crates/gateway/tests/asleep.rs
@@ -6,14 +6,14 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Sleep};
-use cactusnotch_gateway::absence::Absence;
 use cactusnotch_gateway::budget::Budgets;
 use cactusnotch_gateway::content::{Content, Parts};
 use cactusnotch_gateway::freshness::Freshness;
+use cactusnotch_gateway::outage::Outage;
 use cactusnotch_gateway::peer::Entry;
 use cactusnotch_gateway::peers::Peers;
+use cactusnotch_gateway::polls::Polls;
 use cactusnotch_gateway::quarantine::{HOLD_TIME, Quarantine};
-use cactusnotch_gateway::questions::Questions;
 use http::Method;
 
 const SLEPT: Duration = Duration::from_secs(8);
@@ -41,9 +41,9 @@
 
 #[test]
 fn an_answer_to_a_question_from_before_proves_what_held_then() {
-    let (mut questions, mut proof) = (Questions::default(), Freshness::new(Some(SLEPT)));
+    let (mut questions, mut proof) = (Polls::default(), Freshness::new(Some(SLEPT)));
     let round = sleep_after(|| questions.begin(clock::now()));
-    let proved = questions.proved(round, Duration::from_millis(20));
+    let proved = questions.confirmed_at(round, Duration::from_millis(20));
     proof.renew(proved.expect("it was asked"));
     assert!(!proof.holds(clock::now()));
 }
@@ -59,7 +59,7 @@
             listen: address,
             peers: address,
         });
-        peers.hear(address, true, clock::now());
+        peers.record_state(address, true, clock::now());
         assert_eq!(peers.ready_before(clock::now()), 1);
     });
     assert_eq!(peers.ready_before(clock::now()), 0);
@@ -67,13 +67,13 @@
 
 #[test]
 fn the_stores_return_is_long_ago() {
-    let mut absence = Absence::default();
+    let mut outage = Outage::default();
     sleep_after(|| {
-        absence.end(clock::now());
-        assert!(absence.kept_until(clock::now()).is_some());
+        outage.end(clock::now());
+        assert!(outage.kept_until(clock::now()).is_some());
     });
-    assert_eq!(absence.kept_until(clock::now()), None);
-    assert!(absence.ended_ago(clock::now()) >= Some(SLEPT));
+    assert_eq!(outage.kept_until(clock::now()), None);
+    assert!(outage.ended_ago(clock::now()) >= Some(SLEPT));
 }
 
 #[test]
