--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -8,7 +8,7 @@
 use cactusnotch_gateway::freshness::Freshness;
 use cactusnotch_gateway::peer::Entry;
 use cactusnotch_gateway::peers::Peers;
-use cactusnotch_gateway::questions::Questions;
+use cactusnotch_gateway::polls::Polls;
 use proptest::prelude::*;
 
 const WINDOW: Duration = Duration::from_secs(10);
@@ -70,19 +70,23 @@
 #[test]
 fn a_proof_of_another_entry_counts_from_the_question() {
     let asked = clock::now() + Duration::from_secs(100);
-    let mut questions = Questions::default();
+    let mut questions = Polls::default();
     let first = questions.begin(asked);
     let second = questions.begin(asked + Duration::from_millis(600));
     let age = Duration::from_millis(900);
-    assert_eq!(questions.proved(first, age), asked.checked_sub(age));
-    assert_eq!(questions.proved(second + 1, age), None, "nobody asked that");
+    assert_eq!(questions.confirmed_at(first, age), asked.checked_sub(age));
+    assert_eq!(
+        questions.confirmed_at(second + 1, age),
+        None,
+        "nobody asked that"
+    );
     for _ in 0..8 {
         questions.begin(asked);
     }
     assert_eq!(
-        questions.proved(first, age),
+        questions.confirmed_at(first, age),
         None,
-        "an answer that late proves nothing"
+        "an answer that late confirms nothing"
     );
 }
 
@@ -123,10 +127,10 @@
         "nothing was heard of others"
     );
     for port in [2, 3, 4] {
-        peers.hear(SocketAddr::from(([10, 0, 0, 1], port + 1000)), true, now);
+        peers.record_state(SocketAddr::from(([10, 0, 0, 1], port + 1000)), true, now);
     }
     assert_eq!(ports(&peers.list(Some("a"), Some(own()), now)), [OWN, 2, 3]);
-    peers.hear(SocketAddr::from(([10, 0, 0, 1], 1002)), false, now);
+    peers.record_state(SocketAddr::from(([10, 0, 0, 1], 1002)), false, now);
     assert_eq!(
         ports(&peers.list(Some("a"), Some(own()), now)),
         [OWN, 3],
@@ -147,6 +151,6 @@
 fn an_entry_that_stops_lists_the_others() {
     let now = clock::now();
     let mut peers = peers();
-    peers.hear(SocketAddr::from(([10, 0, 0, 1], 1003)), true, now);
+    peers.record_state(SocketAddr::from(([10, 0, 0, 1], 1003)), true, now);
     assert_eq!(ports(&peers.list(Some("a"), None, now)), [3]);
 }
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -19,7 +19,7 @@
         priority: 1,
         attempts: 2,
         anonymous: false,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         backends: vec![Backend {
             service: "s".to_owned(),
             weight: 1,
@@ -35,7 +35,7 @@
         idle_time: Duration::from_secs(15),
     };
     let organisation = Organisation {
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         name: "o".to_owned(),
         priority: None,
     };
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -86,8 +86,8 @@
     let now = clock::now();
     let mut link = Link::default();
     link.fail(Role::Relies, now, 0.5);
-    assert!(!link.hear_of_return(now), "that was before");
-    assert!(link.hear_of_return(now + Duration::from_millis(1)));
+    assert!(!link.note_return(now), "that was before");
+    assert!(link.note_return(now + Duration::from_millis(1)));
     assert!(!link.is_lost());
 }
 
@@ -96,7 +96,7 @@
     let now = clock::now();
     let peer = |at: u8| std::net::SocketAddr::from(([10, 0, 0, at], 7340));
     let mut peers = Peers::new("c", "east");
-    assert_eq!(peers.heard_before(now), Some(0), "it knows no others");
+    assert_eq!(peers.alive_before(now), Some(0), "it knows no others");
     for (at, (host, data_centre)) in [("a", "east"), ("b", "east"), ("d", "east"), ("0", "west")]
         .into_iter()
         .enumerate()
@@ -109,10 +109,10 @@
             peers: peer(at),
         });
     }
-    assert_eq!(peers.heard_before(now), None, "it is cut off");
+    assert_eq!(peers.alive_before(now), None, "it is cut off");
     for at in [0, 2, 3] {
         // Entries that can't serve without the store are there all the same.
-        peers.hear(peer(at), false, now);
+        peers.record_state(peer(at), false, now);
     }
-    assert_eq!(peers.heard_before(now), Some(1));
+    assert_eq!(peers.alive_before(now), Some(1));
 }
--- a/crates/gateway/tests/patience.rs
+++ b/crates/gateway/tests/patience.rs
@@ -22,7 +22,7 @@
         priority: 0,
         attempts: 2,
         anonymous: false,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         backends: Vec::new(),
     }
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -9,7 +9,7 @@
 
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_gateway::peer::Entry;
-use cactusnotch_gateway::peers::{ASKED_MAX, Peers};
+use cactusnotch_gateway::peers::{POLLED_MAX, Peers};
 
 fn entry(at: usize) -> Entry {
     let host = u8::try_from(at).expect("a data centre is small");
@@ -32,11 +32,11 @@
         })
         .collect();
     for at in 0..count {
-        let asked = all[at].asked();
-        assert!(asked.len() <= ASKED_MAX, "{} are asked", asked.len());
+        let asked = all[at].polled();
+        assert!(asked.len() <= POLLED_MAX, "{} are asked", asked.len());
         for other in (0..count).filter(|&other| asked.contains(&entry(other).peers)) {
-            all[other].hear(entry(at).peers, true, now);
-            all[at].hear(entry(other).peers, true, now);
+            all[other].record_state(entry(at).peers, true, now);
+            all[at].record_state(entry(other).peers, true, now);
         }
     }
     all
--- a/crates/gateway/tests/proof.rs
+++ b/crates/gateway/tests/proof.rs
@@ -3,23 +3,23 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock;
-use cactusnotch_gateway::proof::{REWRITE_TIME, Shown};
+use cactusnotch_gateway::confirmation::{REWRITE_TIME, Shown};
 use cactusnotch_position::Era;
 
 const MOMENT: Duration = Duration::from_millis(1);
 
 fn shown(era: u64, version: u64) -> Shown {
     let mut shown = Shown::default();
-    shown.take(Era(era), version);
+    shown.record(Era(era), version);
     shown
 }
 
 #[test]
 fn a_store_that_lost_nothing_proves_what_it_has_shown() {
     let now = clock::now();
-    assert!(shown(0, 7).proves(7, Era(0), now, None));
-    assert!(shown(0, 9).proves(7, Era(0), now, None));
-    assert!(!shown(0, 5).proves(7, Era(0), now, None));
+    assert!(shown(0, 7).confirms(7, Era(0), now, None));
+    assert!(shown(0, 9).confirms(7, Era(0), now, None));
+    assert!(!shown(0, 5).confirms(7, Era(0), now, None));
 }
 
 #[test]
@@ -27,9 +27,9 @@
     let since = clock::now();
     let settled = since + REWRITE_TIME;
     let shown = shown(1, 7);
-    assert!(!shown.proves(7, Era(1), since, Some(since)));
-    assert!(!shown.proves(7, Era(1), settled - MOMENT, Some(since)));
-    assert!(shown.proves(7, Era(1), settled, Some(since)));
+    assert!(!shown.confirms(7, Era(1), since, Some(since)));
+    assert!(!shown.confirms(7, Era(1), settled - MOMENT, Some(since)));
+    assert!(shown.confirms(7, Era(1), settled, Some(since)));
 }
 
 #[test]
@@ -37,17 +37,17 @@
     let since = clock::now();
     let later = since + 5 * REWRITE_TIME;
     let mut shown = shown(1, 7);
-    assert!(!shown.proves(7, Era(2), later, Some(since)));
-    shown.take(Era(2), 5);
+    assert!(!shown.confirms(7, Era(2), later, Some(since)));
+    shown.record(Era(2), 5);
     assert!(
-        !shown.proves(7, Era(2), later, Some(since)),
+        !shown.confirms(7, Era(2), later, Some(since)),
         "it lacks what was accepted"
     );
-    shown.take(Era(1), 9);
+    shown.record(Era(1), 9);
     assert!(
-        !shown.proves(7, Era(2), later, Some(since)),
+        !shown.confirms(7, Era(2), later, Some(since)),
         "an answer that was late"
     );
-    shown.take(Era(2), 7);
-    assert!(shown.proves(7, Era(2), later, Some(since)));
+    shown.record(Era(2), 7);
+    assert!(shown.confirms(7, Era(2), later, Some(since)));
 }
--- a/crates/gateway/tests/share.rs
+++ b/crates/gateway/tests/share.rs
@@ -4,7 +4,7 @@
 //! Grounds of the figures: 46 entries before 64 endpoints, 149 and 207 before 192, and 380
 //! before 1,300 in two years; agents tell loads four times a second.
 
-use cactusnotch_gateway::share::{ALL_MAX, SUBSET, sharers, used};
+use cactusnotch_gateway::subset::{ALL_MAX, SUBSET, sharers, used};
 
 /// How often a second an agent tells its load to each entry that uses its endpoint.
 const TOLD: usize = 4;
--- a/crates/rebalance/src/agent.rs
+++ b/crates/rebalance/src/agent.rs
@@ -14,7 +14,7 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Instant};
-use cactusnotch_gateway::endpoint::Born;
+use cactusnotch_gateway::endpoint::StartTime;
 use cactusnotch_gateway::wake::Wake;
 use cactusnotch_gateway::{datagram, peer, reload, serve_metrics, store, tcp};
 use cactusnotch_telemetry::Exporter;
@@ -119,7 +119,7 @@
     wake: Wake,
     lost: bool,
     /// When the endpoint started, as it said last.
-    born: Option<Born>,
+    born: Option<StartTime>,
     codec: PhantomData<(C, S)>,
 }
 
--- a/crates/rebalance/src/state.rs
+++ b/crates/rebalance/src/state.rs
@@ -2,7 +2,7 @@
 
 use cactusnotch_derive::{message, record};
 
-use cactusnotch_gateway::endpoint::Born;
+use cactusnotch_gateway::endpoint::StartTime;
 
 use crate::Pace;
 
@@ -55,7 +55,7 @@
     /// The maps of this rank.
     pub maps: Maps,
     /// When the endpoint started, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The number of orders that the endpoint has begun.
     pub sequence: u64,
     /// The requests that run.
--- a/crates/rebalance/tests/datagrams.rs
+++ b/crates/rebalance/tests/datagrams.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use cactusnotch_gateway::endpoint::{Born, Endpoint};
+use cactusnotch_gateway::endpoint::{Endpoint, StartTime};
 use cactusnotch_gateway::{Pace, datagram, peer};
 use cactusnotch_position::{Era, Position};
 use cactusnotch_rebalance::estimate::pack;
@@ -98,7 +98,7 @@
         cold_ms: 0,
         id: "i@1".to_owned(),
         instance: "i".to_owned(),
-        born: Some(Born(1)),
+        born: Some(StartTime(1)),
         service: "s".to_owned(),
         address: agent(),
         data_centre: "z".to_owned(),
