--- a/crates/cactusnotch/src/command/platform.rs
+++ b/crates/cactusnotch/src/command/platform.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 use cactusnotch_gateway::Entry;
-use cactusnotch_gateway::journal::Journal;
+use cactusnotch_gateway::journal::BufferedLog;
 use cactusnotch_platform::{Settings, Wire};
 use cactusnotch_rebalance::Agent;
 use cactusnotch_telemetry::Exporter;
@@ -34,8 +34,8 @@
     }
 
     /// Starts the log and the metrics.
-    fn observe(&self) -> Result<(Journal, Exporter), Error> {
-        let journal = Journal::start(self.log_level).map_err(Error::at("start the log"))?;
+    fn observe(&self) -> Result<(BufferedLog, Exporter), Error> {
+        let journal = BufferedLog::start(self.log_level).map_err(Error::at("start the log"))?;
         let exporter = Exporter::install().map_err(|error| Error::new("metrics", error))?;
         Ok((journal, exporter))
     }
--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -24,7 +24,7 @@
         route = call.judged.route.name,
         organisation = call.judged.organisation.as_ref().map(|o| o.name.as_str()),
         version = call.version,
-        patience_ms = call.head.patience.map(millis),
+        patience_ms = call.head.time_budget.map(millis),
         returned = call.has_returned,
         key_age_ms = knowledge.freshness.borrow().age(now).map(millis),
         endpoint = tried.last().map(name::Endpoint::as_str),
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -51,7 +51,7 @@
 
 /// What a route's callers accept.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct Targets {
     /// The time within which the first event should come.
     pub target: Duration,
     /// The longest pause between events of a stream that is still on time.
@@ -61,7 +61,7 @@
 /// Tells whether a request is let in; `draw`, from 0 to 1, spreads the answer
 /// while passes get long.
 #[must_use]
-pub fn admits(caller: Caller, forecast: &Forecast, terms: &Terms, draw: f64) -> bool {
+pub fn admits(caller: Caller, forecast: &Forecast, terms: &Targets, draw: f64) -> bool {
     match caller {
         Caller::First => {
             let late = forecast.full && forecast.first > terms.target.mul_f64(FIRST_PART);
@@ -78,7 +78,7 @@
 
 /// Decides whether a stream is refused so that passes stay short for those that
 /// run: one more would make all of them late.
-fn presses(forecast: &Forecast, terms: &Terms, draw: f64) -> bool {
+fn presses(forecast: &Forecast, terms: &Targets, draw: f64) -> bool {
     let Some((pass, pause)) = forecast.pass.zip(terms.pause) else {
         return false;
     };
--- a/crates/gateway/src/alarms.rs
+++ b/crates/gateway/src/alarms.rs
@@ -8,7 +8,7 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::journal::millis;
 use crate::knowledge::Knowledge;
 use crate::listing;
@@ -28,11 +28,11 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Alarm {
     /// An endpoint ended under a request.
-    Crash(Content, Crash),
+    Crash(Fingerprint, Crash),
     /// A request is held until then.
-    Held(Content, Instant),
+    Held(Fingerprint, Instant),
     /// A request was served whole.
-    Served(Content),
+    Served(Fingerprint),
     /// Endpoints have these limits.
     Limits(Vec<Word>),
 }
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -18,7 +18,7 @@
 
 impl Window {
     /// Drops the parts that are too old and opens a new one if it is time.
-    fn turn(&mut self, now: Instant, window: Duration) {
+    fn rotate(&mut self, now: Instant, window: Duration) {
         let length = window / PARTS;
         let age = |at: Instant| now.saturating_duration_since(at);
         while self
@@ -52,7 +52,7 @@
 /// together however many there are and whatever they know of each other. The
 /// fixed allowance beyond that is divided by twice the entries that are known.
 #[derive(Debug)]
-pub struct Budgets {
+pub struct RetryBudgets {
     ratio: f64,
     /// What may be repeated in a window beyond the ratio.
     allowance: u32,
@@ -60,7 +60,7 @@
     rows: Table<String, Window>,
 }
 
-impl Budgets {
+impl RetryBudgets {
     /// Creates a budget of `ratio` repeated sends for each request in `window`.
     #[must_use]
     pub const fn new(ratio: f64, window: Duration) -> Self {
@@ -73,18 +73,18 @@
     }
 
     /// Takes another bound.
-    pub const fn set(&mut self, ratio: f64, window: Duration) {
+    pub const fn configure(&mut self, ratio: f64, window: Duration) {
         self.ratio = ratio;
         self.window = window;
     }
 
     /// Takes the part of the allowance of all entries that is this entry's.
-    pub const fn allow(&mut self, allowance: u32) {
+    pub const fn set_allowance(&mut self, allowance: u32) {
         self.allowance = allowance;
     }
 
     /// Counts a request.
-    pub fn earn(&mut self, service: &str, now: Instant) {
+    pub fn record_request(&mut self, service: &str, now: Instant) {
         let row = self.row(service, now);
         if let Some((_, first, _)) = row.parts.back_mut() {
             *first += 1;
@@ -92,7 +92,7 @@
     }
 
     /// Tells whether a repeated send could be paid for now.
-    pub fn affords(&mut self, service: &str, now: Instant) -> bool {
+    pub fn can_retry(&mut self, service: &str, now: Instant) -> bool {
         let (ratio, window) = (self.ratio, self.window);
         let allowance = f64::from(self.allowance);
         let (first, again) = self.row(service, now).sums(now, window);
@@ -100,8 +100,8 @@
     }
 
     /// Pays for a repeated send; returns whether there was enough.
-    pub fn spend(&mut self, service: &str, now: Instant) -> bool {
-        if !self.affords(service, now) {
+    pub fn try_spend(&mut self, service: &str, now: Instant) -> bool {
+        if !self.can_retry(service, now) {
             return false;
         }
         if let Some((_, _, again)) = self.row(service, now).parts.back_mut() {
@@ -115,7 +115,7 @@
         let row = self
             .rows
             .get_or_insert_with(service.to_owned(), Window::default);
-        row.turn(now, window);
+        row.rotate(now, window);
         row
     }
 }
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -14,7 +14,7 @@
 #[derive(Debug)]
 pub enum Failure {
     /// There was no answer; the call may have been done.
-    Silent(Error),
+    NoAnswer(Error),
     /// The peer refused the call.
     Refused(StatusCode),
 }
@@ -70,12 +70,12 @@
     /// # Errors
     ///
     /// Returns why there is none.
-    pub async fn body(
+    pub async fn fetch(
         &mut self,
         request: Request<Bytes>,
         limit: Duration,
     ) -> Result<Bytes, Failure> {
-        let response = self.call(request, limit).await.map_err(Failure::Silent)?;
+        let response = self.call(request, limit).await.map_err(Failure::NoAnswer)?;
         match response.status() {
             status if status.is_success() => Ok(response.into_body()),
             status => Err(Failure::Refused(status)),
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -185,7 +185,10 @@
             .routes
             .partition_point(|route| route.host.as_str() < host);
         let of_host = self.routes[first..].iter().take_while(|r| r.host == host);
-        let homes: Vec<_> = of_host.flat_map(|r| &r.homes).map(String::as_str).collect();
+        let homes: Vec<_> = of_host
+            .flat_map(|r| &r.allowed_regions)
+            .map(String::as_str)
+            .collect();
         (!homes.is_empty()).then_some(homes)
     }
 
@@ -243,6 +246,6 @@
     routes
         .iter()
         .filter(leads)
-        .filter_map(|route| route.pause)
+        .filter_map(|route| route.max_event_gap)
         .min()
 }
--- a/crates/gateway/src/content.rs
+++ b/crates/gateway/src/content.rs
@@ -13,7 +13,7 @@
 /// A digest of a request's caller, method, target and body. An attempt's id is new each
 /// time a caller comes back; this stays, at any entry.
 #[number]
-pub struct Content([u8; LENGTH]);
+pub struct Fingerprint([u8; LENGTH]);
 
 /// The parts of a request that stay the same over its attempts.
 #[derive(Debug, Clone, Copy)]
@@ -30,7 +30,7 @@
     pub body: &'a [u8],
 }
 
-impl Content {
+impl Fingerprint {
     /// Returns the digest of `parts`. It can't be chosen, so that no caller can have its
     /// request taken for another's.
     #[must_use]
@@ -67,7 +67,7 @@
     }
 }
 
-impl fmt::Display for Content {
+impl fmt::Display for Fingerprint {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:032x}", u128::from_be_bytes(self.0))
     }
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -8,7 +8,7 @@
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_telemetry::metric;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::knowledge::Knowledge;
 use crate::quarantine;
 use crate::request::Call;
@@ -29,14 +29,14 @@
 /// Finds out whether the endpoint has ended, as opposed to its connection, and remembers
 /// that of the request. Its caller may leave meanwhile.
 pub(crate) async fn examine(knowledge: &Rc<Knowledge>, call: &Call, cut: Cut) {
-    let (knowledge, content) = (Rc::clone(knowledge), call.content());
+    let (knowledge, content) = (Rc::clone(knowledge), call.fingerprint());
     let examined = tokio::task::spawn_local(examine_one(knowledge, content, cut));
     if let Err(error) = examined.await {
         tracing::error!(%content, %error, "an endpoint's end was not examined");
     }
 }
 
-async fn examine_one(knowledge: Rc<Knowledge>, content: Content, cut: Cut) {
+async fn examine_one(knowledge: Rc<Knowledge>, content: Fingerprint, cut: Cut) {
     let at = clock::now();
     let Err(error) = tcp::connect(cut.address, PROBE_TIMEOUT).await else {
         return;
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -1,7 +1,7 @@
 //! What follows when an endpoint did not answer a request.
 
 use crate::refusal::Refusal;
-use crate::route::Repeat;
+use crate::route::RetryPolicy;
 
 /// The most endpoints in a row that may be out of reach before a request is
 /// given back; none of them has seen it.
@@ -15,7 +15,7 @@
     /// The endpoint states that it did not run the request.
     Refused,
     /// The request may have run.
-    InDoubt,
+    Uncertain,
 }
 
 /// What to do next.
@@ -31,24 +31,24 @@
 
 /// The course of one request over endpoints.
 #[derive(Debug, Clone, Copy)]
-pub struct Course {
-    repeat: Repeat,
+pub struct Lifecycle {
+    repeat: RetryPolicy,
     attempts: u32,
     sent: u32,
     unreached: u32,
-    in_doubt: bool,
+    uncertain: bool,
 }
 
-impl Course {
+impl Lifecycle {
     /// Creates the course of a request that may be sent to `attempts` endpoints.
     #[must_use]
-    pub const fn new(repeat: Repeat, attempts: u32) -> Self {
+    pub const fn new(repeat: RetryPolicy, attempts: u32) -> Self {
         Self {
             repeat,
             attempts,
             sent: 0,
             unreached: 0,
-            in_doubt: false,
+            uncertain: false,
         }
     }
 
@@ -60,18 +60,18 @@
 
     /// Tells whether it may be sent to another endpoint.
     #[must_use]
-    pub const fn may_repeat(&self) -> bool {
+    pub const fn may_retry(&self) -> bool {
         self.sent < self.attempts
     }
 
     /// Notes that the request is being written to an endpoint.
-    pub const fn send(&mut self) {
+    pub const fn record_send(&mut self) {
         self.sent += 1;
     }
 
     /// Returns what follows a failure. `affordable` tells whether the budget
     /// allows another send; it is asked only if one is due.
-    pub fn fail(&mut self, failure: Failure, affordable: impl FnOnce() -> bool) -> Next {
+    pub fn after_failure(&mut self, failure: Failure, affordable: impl FnOnce() -> bool) -> Next {
         match failure {
             Failure::Unsent => {
                 self.sent = self.sent.saturating_sub(1);
@@ -81,19 +81,19 @@
                 }
             }
             Failure::Refused => {}
-            Failure::InDoubt => self.in_doubt = true,
+            Failure::Uncertain => self.uncertain = true,
         }
-        let allowed = !(self.in_doubt && self.repeat == Repeat::Never);
+        let allowed = !(self.uncertain && self.repeat == RetryPolicy::Never);
         if failure != Failure::Unsent && allowed && self.sent < self.attempts && affordable() {
             return Next::Repeat;
         }
-        Next::Give(self.given_up())
+        Next::Give(self.exhausted())
     }
 
     /// Returns the answer when no endpoint is left to try.
     #[must_use]
-    pub const fn given_up(&self) -> Refusal {
-        if self.in_doubt {
+    pub const fn exhausted(&self) -> Refusal {
+        if self.uncertain {
             Refusal::Lost
         } else {
             Refusal::NotRun
@@ -103,8 +103,8 @@
     /// Returns the answer when the time is up while an endpoint may be at
     /// work (`sending`) or not.
     #[must_use]
-    pub const fn time_up(&self, sending: bool) -> Refusal {
-        if sending || self.in_doubt {
+    pub const fn timed_out(&self, sending: bool) -> Refusal {
+        if sending || self.uncertain {
             Refusal::TimeUp
         } else {
             Refusal::NotRun
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -16,7 +16,7 @@
     /// The id of the caller's attempt.
     pub id: Option<String>,
     /// How long the caller will wait.
-    pub patience: Option<Duration>,
+    pub time_budget: Option<Duration>,
     /// The key of the caller's organisation.
     pub key: Option<String>,
     /// The last event that the caller has of a stream it resumes.
@@ -33,7 +33,7 @@
     /// The organisation that sent it.
     pub organisation: Option<&'a str>,
     /// The time that is left for it.
-    pub left: Option<Duration>,
+    pub time_left: Option<Duration>,
     /// The last event that the caller has, if a stream is resumed.
     pub last_event: Option<u64>,
     /// The urgency from 0, the most, to 9.
@@ -42,7 +42,7 @@
 
 /// What an endpoint's answer says beside its status.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Verdict {
+pub struct ResponseInfo {
     /// Whether it is the answer to another request.
     pub foreign: bool,
     /// Whether the endpoint states that it did not run the request.
@@ -55,7 +55,7 @@
 
 /// A caller's question for addresses.
 #[record]
-pub struct Question {
+pub struct AddressQuery {
     /// The host that the caller will ask for.
     pub host: Option<String>,
     /// The region of the caller.
@@ -74,20 +74,24 @@
     fn forward(headers: &mut HeaderMap, hop: &Hop<'_>);
 
     /// Reads what the headers of an answer to the request `id` say.
-    fn verdict(headers: &HeaderMap, status: http::StatusCode, id: Option<&str>) -> Verdict;
+    fn response_info(
+        headers: &HeaderMap,
+        status: http::StatusCode,
+        id: Option<&str>,
+    ) -> ResponseInfo;
 
     /// Reads a question for addresses, or `None` if the call is another.
-    fn question(uri: &Uri) -> Option<Question>;
+    fn address_query(uri: &Uri) -> Option<AddressQuery>;
 
     /// Tells whether the call asks whether the entry is ready.
-    fn asks_ready(uri: &Uri) -> bool;
+    fn is_readiness_query(uri: &Uri) -> bool;
 
     /// Writes the answer to a question for addresses.
     fn addresses(addresses: &[SocketAddr], keep: Duration) -> Bytes;
 
     /// Adds to a refusal when to come back.
-    fn come_back(headers: &mut HeaderMap, after: Duration);
+    fn set_retry_after(headers: &mut HeaderMap, after: Duration);
 
     /// Writes the body of an answer of the entry's own.
-    fn explanation(text: &str) -> Bytes;
+    fn error_body(text: &str) -> Bytes;
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -94,15 +94,15 @@
         let Options {
             listen: front,
             readiness,
-            directory,
+            resolver,
             metrics,
             peers,
             ..
         } = self.options;
-        let (callers, readiness, directory, metrics, handouts) = (
+        let (callers, readiness, resolver, metrics, handouts) = (
             listen(front)?,
             listen(readiness)?,
-            listen(directory)?,
+            listen(resolver)?,
             listen(metrics)?,
             listen(peers)?,
         );
@@ -116,7 +116,10 @@
         tracing::info!(host = self.options.host, data_centre = self.options.data_centre, listen = %front, "entry started");
         let knowledge = Rc::new(Knowledge::new(self.options));
         let (closing, closed) = watch::channel(false);
-        let followed = knowledge.options().evacuation.map(|_| Kind::Evacuations);
+        let followed = knowledge
+            .options()
+            .evacuation_bound
+            .map(|_| Kind::Evacuations);
         for kind in [Kind::Configuration, Kind::Endpoints]
             .into_iter()
             .chain(followed)
@@ -129,8 +132,8 @@
         tokio::task::spawn_local(registration::run::<C>(Rc::clone(&knowledge)));
         tokio::task::spawn_local(record::run::<C>(Rc::clone(&knowledge)));
         tokio::task::spawn_local(server::callers::<D>(Rc::clone(&knowledge), callers, closed));
-        tokio::task::spawn_local(server::questions::<D>(Rc::clone(&knowledge), readiness));
-        tokio::task::spawn_local(server::questions::<D>(Rc::clone(&knowledge), directory));
+        tokio::task::spawn_local(server::queries::<D>(Rc::clone(&knowledge), readiness));
+        tokio::task::spawn_local(server::queries::<D>(Rc::clone(&knowledge), resolver));
         tokio::task::spawn_local(server::metrics(self.exporter, metrics));
         tokio::task::spawn_local(handout::run::<C>(Rc::clone(&knowledge), handouts));
         tokio::task::spawn_local(listing::run(Rc::clone(&knowledge), Rc::clone(&socket)));
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -11,10 +11,10 @@
 use hyper::body::Incoming;
 use rand::Rng;
 
-use crate::admission::{self, Forecast, Terms};
+use crate::admission::{self, Forecast, Targets};
 use crate::channel;
 use crate::crash::Cut;
-use crate::decide::{Course, Failure};
+use crate::decide::{Failure, Lifecycle};
 use crate::dialect::Dialect;
 use crate::endpoint::Endpoint;
 use crate::fleet::Wish;
@@ -22,7 +22,7 @@
 use crate::knowledge::Knowledge;
 use crate::pool::{self, Kept, Lease, Reuse};
 use crate::request::Call;
-use crate::route::Repeat;
+use crate::route::RetryPolicy;
 use crate::running::Running;
 use cactusnotch_throttle::Stated;
 
@@ -71,7 +71,7 @@
     let wish = Wish {
         tokens: call.head.prompt_tokens,
         tried,
-        may_probe: call.judged.route.repeat == Repeat::Idempotent,
+        may_probe: call.judged.route.retry_policy == RetryPolicy::Idempotent,
         within: within.as_deref(),
     };
     if knowledge.holds(call, now).is_some() {
@@ -119,7 +119,7 @@
     now: Instant,
 ) -> bool {
     let service = &call.judged.service;
-    if !knowledge.budgets.borrow_mut().affords(service, now) {
+    if !knowledge.budgets.borrow_mut().can_retry(service, now) {
         return false;
     }
     let chosen = choose(knowledge, call, tried, now);
@@ -159,9 +159,9 @@
 /// Tells whether a request is let in.
 fn admits(knowledge: &Knowledge, call: &Call, forecast: &Forecast, now: Instant) -> bool {
     let route = &call.judged.route;
-    let terms = Terms {
-        target: route.target,
-        pause: route.pause,
+    let terms = Targets {
+        target: route.target_latency,
+        pause: route.max_event_gap,
     };
     let draw = knowledge.rng.borrow_mut().random();
     admission::admits(call.caller(now), forecast, &terms, draw)
@@ -178,12 +178,12 @@
 pub(crate) async fn send<D: Dialect>(
     knowledge: &Rc<Knowledge>,
     call: &Call,
-    course: &mut Course,
+    lifecycle: &mut Lifecycle,
     endpoint: &Endpoint,
     mut running: Running,
     last_event: Option<u64>,
 ) -> Result<Reply, Failed> {
-    let first = course.sent() == 0;
+    let first = lifecycle.sent() == 0;
     let mut lease = connect(knowledge, call, endpoint, first, &mut running).await?;
     let now = clock::now();
     let admitted = knowledge.fleet.borrow_mut().admit(endpoint, now);
@@ -191,7 +191,7 @@
         return Err(Failed::new(Failure::Unsent, &barred.to_string()));
     }
     let request = call.outgoing::<D>(endpoint, last_event, now);
-    course.send();
+    lifecycle.record_send();
     running.sent = Some(now);
     let Some(channel) = lease.channel() else {
         return Err(Failed::new(Failure::Unsent, "no connection"));
@@ -213,9 +213,9 @@
     // A kept connection may be dropped already, or hold an extra answer. A
     // request that can't be sent twice isn't risked on one, nor is the last
     // chance of one that can.
-    let reuse = match call.judged.route.repeat {
-        Repeat::Idempotent | Repeat::Resume if first => Reuse::Allowed,
-        Repeat::Never | Repeat::Idempotent | Repeat::Resume => Reuse::Never,
+    let reuse = match call.judged.route.retry_policy {
+        RetryPolicy::Idempotent | RetryPolicy::Resume if first => Reuse::Allowed,
+        RetryPolicy::Never | RetryPolicy::Idempotent | RetryPolicy::Resume => Reuse::Never,
     };
     let most = knowledge.connections(&endpoint.service);
     let pool = knowledge.pool.clone();
@@ -239,13 +239,13 @@
     mut running: Running,
 ) -> Result<Reply, Failed> {
     let (head, body) = response.into_parts();
-    let verdict = D::verdict(&head.headers, head.status, call.head.id.as_deref());
+    let info = D::response_info(&head.headers, head.status, call.head.id.as_deref());
     let sent = running.sent;
     running
         .knowledge
-        .take_statement(endpoint, &verdict, sent, clock::now());
-    if verdict.refused && !verdict.foreign {
-        let cause = match verdict.statement.rest {
+        .take_statement(endpoint, &info, sent, clock::now());
+    if info.refused && !info.foreign {
+        let cause = match info.statement.rest {
             Stated::Value(rest) => format!(
                 "the endpoint refused with {} and asks for {} ms of rest",
                 head.status,
@@ -257,20 +257,20 @@
         };
         return Err(Failed::new(Failure::Refused, &cause));
     }
-    let doubt = if verdict.foreign {
+    let doubt = if info.foreign {
         Some("an answer to another request")
     } else if head.headers.contains_key(header::CONTENT_ENCODING) {
         Some("an encoded answer")
-    } else if !verdict.signed {
+    } else if !info.signed {
         Some("an unsigned answer")
     } else {
         None
     };
     if let Some(cause) = doubt {
         running.failed();
-        return Err(Failed::new(Failure::InDoubt, cause));
+        return Err(Failed::new(Failure::Uncertain, cause));
     }
-    if worth_repeating(head.status, call.judged.route.repeat) {
+    if worth_repeating(head.status, call.judged.route.retry_policy) {
         running.failed();
     }
     let kept = kept(&head);
@@ -313,13 +313,13 @@
         running.failed();
         Self {
             cut: running.cut(clock::now()),
-            ..Self::new(Failure::InDoubt, cause)
+            ..Self::new(Failure::Uncertain, cause)
         }
     }
 }
 
 /// Tells whether an answer is the endpoint's own failure of a request that
 /// may be repeated elsewhere.
-pub(crate) fn worth_repeating(status: StatusCode, repeat: Repeat) -> bool {
-    status.is_server_error() && repeat == Repeat::Idempotent
+pub(crate) fn worth_repeating(status: StatusCode, repeat: RetryPolicy) -> bool {
+    status.is_server_error() && repeat == RetryPolicy::Idempotent
 }
--- a/crates/gateway/src/fleet/row.rs
+++ b/crates/gateway/src/fleet/row.rs
@@ -5,7 +5,7 @@
 use cactusnotch_base::clock::Instant;
 
 use crate::endpoint::Endpoint;
-use crate::pace::Pace;
+use crate::pace::Slowdown;
 use crate::peer::Load;
 
 /// How long an agent's word on passes counts; agents repeat it four times a
@@ -28,7 +28,7 @@
     /// How long a pass of its group takes, and when that was told.
     pass: Option<(Duration, Instant)>,
     /// How slow it is, as told with the pass.
-    pace: Pace,
+    pace: Slowdown,
     /// Whether its group takes requests, as told with the pass.
     open: bool,
     /// Until when its agent is looked for, if it has not been heard.
@@ -51,7 +51,7 @@
             endpoint,
             used,
             pass: None,
-            pace: Pace::default(),
+            pace: Slowdown::default(),
             open: true,
             sought_until: ranked.then(|| now + SEEK_TIME),
             rival: None,
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -17,7 +17,7 @@
 use crate::answer::{self, Read};
 use crate::body::Outgoing;
 use crate::crash;
-use crate::decide::{Course, Failure, Next};
+use crate::decide::{Failure, Lifecycle, Next};
 use crate::dialect::Dialect;
 use crate::endpoint::Endpoint;
 use crate::exchange::{self, Failed, Reply, Unserved};
@@ -27,7 +27,7 @@
 use crate::pump::Pump;
 use crate::refusal::Refusal;
 use crate::request::{self, Call};
-use crate::route::Repeat;
+use crate::route::RetryPolicy;
 use crate::running::Running;
 
 /// How often it is looked whether there is room.
@@ -66,12 +66,18 @@
         }
     };
     let service = call.judged.service.clone();
-    knowledge.budgets.borrow_mut().earn(&service, arrived);
-    let course = Course::new(call.judged.route.repeat, call.judged.route.attempts);
+    knowledge
+        .budgets
+        .borrow_mut()
+        .record_request(&service, arrived);
+    let lifecycle = Lifecycle::new(
+        call.judged.route.retry_policy,
+        call.judged.route.max_attempts,
+    );
     let mut flight = Flight {
         knowledge: Rc::clone(&knowledge),
         call,
-        course,
+        lifecycle,
         tried: Vec::new(),
         waited: false,
         sending: false,
@@ -82,9 +88,9 @@
         // An answer that is ready goes before the end of the time.
         biased;
         driven = flight.drive::<D>() => Some(driven),
-        () = knowledge.wake.due(until) => None,
+        () = knowledge.wake.wait_until(until) => None,
     };
-    let driven = driven.unwrap_or_else(|| Err(flight.course.time_up(flight.sending)));
+    let driven = driven.unwrap_or_else(|| Err(flight.lifecycle.timed_out(flight.sending)));
     match driven {
         Ok(Answered::Whole(head, body)) => {
             flight.log(head.status.as_u16(), "whole");
@@ -105,7 +111,7 @@
 struct Flight {
     knowledge: Rc<Knowledge>,
     call: Call,
-    course: Course,
+    lifecycle: Lifecycle,
     tried: Vec<name::Endpoint>,
     /// Whether it has waited for room.
     waited: bool,
@@ -122,7 +128,7 @@
         loop {
             // Timers stand still while the host sleeps.
             if self.call.until.left().is_zero() {
-                return Err(self.course.time_up(false));
+                return Err(self.lifecycle.timed_out(false));
             }
             let (endpoint, running) =
                 match exchange::choose(&self.knowledge, &self.call, &self.tried, clock::now()) {
@@ -131,9 +137,9 @@
                         self.wait().await;
                         continue;
                     }
-                    Err(Unserved::Busy) if self.course.sent() == 0 => return Err(Refusal::Busy),
-                    Err(Unserved::Held) if self.course.sent() == 0 => return Err(Refusal::Held),
-                    Err(Unserved::Busy | Unserved::Held) => return Err(self.course.given_up()),
+                    Err(Unserved::Busy) if self.lifecycle.sent() == 0 => return Err(Refusal::Busy),
+                    Err(Unserved::Held) if self.lifecycle.sent() == 0 => return Err(Refusal::Held),
+                    Err(Unserved::Busy | Unserved::Held) => return Err(self.lifecycle.exhausted()),
                     Err(Unserved::None(error)) => return Err(self.unserved(&error)),
                 };
             self.tried.push(running.endpoint().clone());
@@ -156,25 +162,25 @@
         endpoint: &Endpoint,
         running: Running,
     ) -> Result<Reply, Failed> {
-        let (before, tried) = (self.course.sent(), running.endpoint().clone());
-        let movable = self.call.judged.route.repeat == Repeat::Resume
-            && before + 1 < self.call.judged.route.attempts;
+        let (before, tried) = (self.lifecycle.sent(), running.endpoint().clone());
+        let movable = self.call.judged.route.retry_policy == RetryPolicy::Resume
+            && before + 1 < self.call.judged.route.max_attempts;
         self.sending = true;
         let last = self.call.head.last_event;
         let (knowledge, call) = (&self.knowledge, &self.call);
         let sent = tokio::select! {
             biased;
-            sent = exchange::send::<D>(knowledge, call, &mut self.course, endpoint, running, last) => Some(sent),
+            sent = exchange::send::<D>(knowledge, call, &mut self.lifecycle, endpoint, running, last) => Some(sent),
             () = exchange::lost(knowledge, call, &self.tried, &tried), if movable => None,
         };
         self.sending = false;
         sent.unwrap_or_else(|| {
             metrics::counter!(metric::GATEWAY_MOVED).increment(1);
-            let unsent = self.course.sent() == before;
+            let unsent = self.lifecycle.sent() == before;
             let failure = if unsent {
                 Failure::Unsent
             } else {
-                Failure::InDoubt
+                Failure::Uncertain
             };
             Err(Failed::new(failure, "the endpoint is lost"))
         })
@@ -182,7 +188,7 @@
 
     /// Reads an answer as far as it has to be known before it is passed on.
     async fn take(&mut self, mut reply: Reply) -> Result<Answered, Failed> {
-        let repeat = self.call.judged.route.repeat;
+        let repeat = self.call.judged.route.retry_policy;
         if self.call.judged.route.streaming && reply.head.status.is_success() {
             return Ok(Answered::Pieces(Box::new(reply), Bytes::new()));
         }
@@ -197,7 +203,7 @@
             }
         };
         let status = reply.head.status;
-        let more = self.course.sent() < self.call.judged.route.attempts;
+        let more = self.lifecycle.sent() < self.call.judged.route.max_attempts;
         if exchange::worth_repeating(status, repeat) && more {
             let cause = format!("the endpoint answered {status}");
             reply.lease.keep(reply.kept, clock::now());
@@ -234,7 +240,7 @@
             }
             Unserved::Busy | Unserved::None(_) => true,
         };
-        may_come && self.call.has_returned && self.course.sent() == 0 && clock::now() < last
+        may_come && self.call.has_returned && self.lifecycle.sent() == 0 && clock::now() < last
     }
 
     /// Returns the answer when no endpoint can be chosen.
@@ -244,20 +250,20 @@
         let evacuated = self.knowledge.evacuations.borrow().names().count();
         let homes = self.call.judged.homes.as_ref().map(|homes| homes.join(","));
         tracing::info!(id, service, %error, evacuated, homes, "no endpoint chosen");
-        let given_up = self.course.given_up();
+        let exhausted = self.lifecycle.exhausted();
         let choice::Error::Withheld { first, .. } = *error else {
-            return given_up;
+            return exhausted;
         };
         let wait = self.knowledge.throttled(id, service, first);
-        match given_up {
+        match exhausted {
             Refusal::NotRun => Refusal::Throttled { wait },
-            in_doubt => in_doubt,
+            uncertain => uncertain,
         }
     }
 
     fn affordable(&self) -> bool {
         let mut budgets = self.knowledge.budgets.borrow_mut();
-        budgets.spend(&self.call.judged.service, clock::now())
+        budgets.try_spend(&self.call.judged.service, clock::now())
     }
 
     /// Finds out whether an endpoint has ended under the request, before it is sent to
@@ -273,12 +279,12 @@
 
     /// Decides what follows a send without an answer.
     fn next(&mut self, failed: &Failed) -> Result<(), Refusal> {
-        let mut course = self.course;
-        let next = course.fail(failed.failure, || self.affordable());
-        self.course = course;
+        let mut lifecycle = self.lifecycle;
+        let next = lifecycle.after_failure(failed.failure, || self.affordable());
+        self.lifecycle = lifecycle;
         let id = self.call.head.id.as_deref();
         let endpoint = self.tried.last().map(name::Endpoint::as_str);
-        tracing::info!(id, endpoint, content = %self.call.content(), cause = failed.cause, next = ?next, "endpoint gave no answer");
+        tracing::info!(id, endpoint, content = %self.call.fingerprint(), cause = failed.cause, next = ?next, "endpoint gave no answer");
         match next {
             Next::Repeat => {
                 metrics::counter!(metric::GATEWAY_REPEATS).increment(1);
@@ -304,7 +310,7 @@
         let Self {
             knowledge,
             call,
-            course,
+            lifecycle,
             tried,
             ..
         } = self;
@@ -312,7 +318,7 @@
         let pump = Pump {
             knowledge,
             call,
-            course,
+            lifecycle,
             tried,
             sender,
             resumed: 0,
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -13,7 +13,7 @@
 
 use crate::dialect::Dialect;
 use crate::knowledge::Knowledge;
-use crate::memory::{Held, Memory};
+use crate::memory::{Memory, Reservation};
 use crate::refusal::Refusal;
 use crate::request::{self, Call};
 
@@ -36,7 +36,7 @@
         .map_or(BODY_TIME, |c| c.limits.idle_time);
     let mut room = knowledge
         .memory
-        .begin()
+        .reserve()
         .ok_or_else(|| fail(Refusal::NoMemory))?;
     let body = read_body(body, limit, patience, &knowledge.memory, &mut room);
     let body = body.await.map_err(fail)?;
@@ -70,9 +70,9 @@
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     let has_returned = knowledge
-        .patience
+        .time_budgets
         .borrow_mut()
-        .has_returned(&judged.route.name, head.patience);
+        .has_returned(&judged.route.name, head.time_budget);
     let until = Call::due(&judged.route, &head, arrived);
     let target = parts
         .uri
@@ -106,7 +106,7 @@
     limit: usize,
     patience: Duration,
     memory: &Memory,
-    held: &mut Held,
+    held: &mut Reservation,
 ) -> Result<Bytes, Refusal> {
     let mut body = Limited::new(body, limit);
     let read = async {
@@ -120,7 +120,7 @@
                 }
             })?;
             let data = frame.into_data().unwrap_or_default();
-            if !memory.add(held, data.len()) {
+            if !memory.grow(held, data.len()) {
                 return Err(Refusal::NoMemory);
             }
             whole.extend_from_slice(&data);
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -27,11 +27,11 @@
 
 /// The lines that wait to be written.
 #[derive(Debug, Clone, Default)]
-pub struct Journal {
+pub struct BufferedLog {
     shared: Arc<(Mutex<Waiting>, Condvar)>,
 }
 
-impl Journal {
+impl BufferedLog {
     /// Starts to log JSON lines of `level` and above to standard output.
     ///
     /// # Errors
@@ -89,7 +89,7 @@
     }
 }
 
-impl Write for &Journal {
+impl Write for &BufferedLog {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let (lock, wake) = &*self.shared;
         let mut waiting = lock.lock().unwrap_or_else(PoisonError::into_inner);
@@ -111,7 +111,7 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Journal {
+impl<'a> MakeWriter<'a> for BufferedLog {
     type Writer = &'a Self;
 
     fn make_writer(&'a self) -> Self::Writer {
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -20,7 +20,7 @@
 
 use crate::absence::Absence;
 use crate::alarms::Alarms;
-use crate::budget::Budgets;
+use crate::budget::RetryBudgets;
 use crate::complaints::Complaints;
 use crate::configuration::Configuration;
 use crate::evacuations::Evacuations;
@@ -31,7 +31,6 @@
 use crate::memory::Memory;
 use crate::news::News;
 use crate::options::Options;
-use crate::patience::Patience;
 use crate::peer::Entry;
 use crate::peers::Peers;
 use crate::pool::Pool;
@@ -40,7 +39,8 @@
 use crate::questions::Questions;
 use crate::record::Records;
 use crate::store::{Change, Codec, Item, Kind, Store, Unreadable};
-use crate::wake::Wake;
+use crate::time_budget::TimeBudgets;
+use crate::wake::SuspendDetector;
 
 /// Everything that an entry believes, shared between its tasks.
 #[derive(Debug)]
@@ -62,8 +62,8 @@
     pub(crate) handout: Handout,
     pub(crate) pool: Pool,
     pub(crate) memory: Memory,
-    pub(crate) budgets: RefCell<Budgets>,
-    pub(crate) patience: RefCell<Patience>,
+    pub(crate) budgets: RefCell<RetryBudgets>,
+    pub(crate) time_budgets: RefCell<TimeBudgets>,
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) in_flight: Cell<u32>,
     pub(crate) stopping: Cell<Option<Instant>>,
@@ -88,23 +88,23 @@
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) alarms: Alarms,
     pub(crate) records: Records,
-    pub(crate) wake: Wake,
+    pub(crate) wake: SuspendDetector,
 }
 
 impl Knowledge {
     pub(crate) fn new(options: Options) -> Self {
         let memory = Memory::of_host(options.memory);
         Self {
-            freshness: RefCell::new(Freshness::new(options.revocation)),
+            freshness: RefCell::new(Freshness::new(options.revocation_bound)),
             fleet: RefCell::new(Fleet::new(
                 &options.host,
                 &options.data_centre,
-                options.cold,
+                options.warm_up,
             )),
             peers: RefCell::new(Peers::new(&options.host, &options.data_centre)),
-            budgets: RefCell::new(Budgets::new(options.retry_ratio, options.retry_window)),
+            budgets: RefCell::new(RetryBudgets::new(options.retry_ratio, options.retry_window)),
             options: RefCell::new(Rc::new(options)),
-            patience: RefCell::default(),
+            time_budgets: RefCell::default(),
             complaints: RefCell::default(),
             link: RefCell::default(),
             answered: Notify::new(),
@@ -131,7 +131,7 @@
             quarantine: RefCell::default(),
             alarms: Alarms::default(),
             records: Records::default(),
-            wake: Wake::default(),
+            wake: SuspendDetector::default(),
         }
     }
 
@@ -141,17 +141,19 @@
 
     /// Takes other settings.
     pub(crate) fn set_options(&self, options: Options) {
-        self.freshness.borrow_mut().set_bound(options.revocation);
+        self.freshness
+            .borrow_mut()
+            .set_bound(options.revocation_bound);
         self.budgets
             .borrow_mut()
-            .set(options.retry_ratio, options.retry_window);
+            .configure(options.retry_ratio, options.retry_window);
         let mut known = self.options.borrow_mut();
         // Whether evacuations are followed is decided at the start.
-        let evacuation = known
-            .evacuation
-            .map(|before| options.evacuation.unwrap_or(before));
+        let evacuation_bound = known
+            .evacuation_bound
+            .map(|before| options.evacuation_bound.unwrap_or(before));
         *known = Rc::new(Options {
-            evacuation,
+            evacuation_bound,
             ..options
         });
     }
@@ -327,7 +329,7 @@
         self.fleet
             .borrow_mut()
             .configure(new.services(), clock::now());
-        self.patience.borrow_mut().keep(new.routes());
+        self.time_budgets.borrow_mut().retain_routes(new.routes());
         tracing::info!(
             version = new.version,
             before = known,
@@ -376,7 +378,7 @@
         self.tend_statements(known, now);
         let slack = self.options.borrow().retry_slack;
         let allowance = if known { slack / (2 * entries) } else { 0 };
-        self.budgets.borrow_mut().allow(allowance);
+        self.budgets.borrow_mut().set_allowance(allowance);
         let fleet = self.fleet.borrow();
         self.pool.sweep(now, |id| fleet.takes_work(id));
     }
--- a/crates/gateway/src/knowledge/evacuations.rs
+++ b/crates/gateway/src/knowledge/evacuations.rs
@@ -24,7 +24,7 @@
 impl Knowledge {
     /// Tells whether evacuations are to be known and aren't.
     pub(crate) fn lacks_evacuations(&self) -> bool {
-        self.options.borrow().evacuation.is_some() && !self.evacuations.borrow().are_known()
+        self.options.borrow().evacuation_bound.is_some() && !self.evacuations.borrow().are_known()
     }
 
     /// Returns how long the entry that watches evacuations leaves between two proofs.
@@ -40,7 +40,7 @@
     }
 
     fn evacuation_part(&self, part: f64) -> Duration {
-        let bound = self.options.borrow().evacuation.unwrap_or_default();
+        let bound = self.options.borrow().evacuation_bound.unwrap_or_default();
         bound.mul_f64(part)
     }
 
--- a/crates/gateway/src/knowledge/proof.rs
+++ b/crates/gateway/src/knowledge/proof.rs
@@ -39,9 +39,9 @@
     pub(crate) fn prove_after(&self, now: Instant) -> Duration {
         let before = self.peers.borrow().ready_before(now);
         let options = self.options.borrow();
-        let leaving = options.leaving.div_f64(PROVE_LEAVING);
+        let leaving = options.leaving_bound.div_f64(PROVE_LEAVING);
         let bound = options
-            .revocation
+            .revocation_bound
             .map_or(leaving, |bound| bound.min(leaving));
         let later = PROVE_STEP * f64::from(before.min(PROVE_STEPS));
         let part = if before == 0 {
--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -8,7 +8,7 @@
 
 use super::Knowledge;
 use crate::alarms::Alarm;
-use crate::dialect::Verdict;
+use crate::dialect::ResponseInfo;
 use crate::endpoint::Endpoint;
 use crate::fleet::{Barrier, Update};
 use crate::journal::millis;
@@ -27,17 +27,17 @@
     pub(crate) fn take_statement(
         &self,
         endpoint: &Endpoint,
-        verdict: &Verdict,
+        info: &ResponseInfo,
         sent: Option<Instant>,
         now: Instant,
     ) {
-        self.complain(endpoint, &verdict.statement);
-        let ran = verdict.signed && !verdict.refused && !verdict.foreign;
+        self.complain(endpoint, &info.statement);
+        let ran = info.signed && !info.refused && !info.foreign;
         let sent = sent.unwrap_or(now);
         let mut fleet = self.fleet.borrow_mut();
-        let update = fleet.take_statement(endpoint, &verdict.statement, ran, sent, now);
+        let update = fleet.take_statement(endpoint, &info.statement, ran, sent, now);
         drop(fleet);
-        note(endpoint, &update, &verdict.statement);
+        note(endpoint, &update, &info.statement);
         let Some(change) = update.limit else {
             return;
         };
--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -8,7 +8,7 @@
 
 use super::Knowledge;
 use crate::alarms::Alarm;
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::journal::millis;
 use crate::peer;
 use crate::quarantine::{Crash, Verdict};
@@ -24,7 +24,7 @@
         if quarantine.is_empty() {
             return None;
         }
-        quarantine.holds(call.content(), now)
+        quarantine.time_left(call.fingerprint(), now)
     }
 
     /// Takes that a request was served whole, which none is that ends its endpoints.
@@ -32,7 +32,7 @@
         if self.quarantine.borrow().is_empty() {
             return;
         }
-        let content = call.content();
+        let content = call.fingerprint();
         let Some(held) = self.clear(content) else {
             return;
         };
@@ -46,7 +46,7 @@
 
     /// Takes that this entry has seen an endpoint end under a request, and has the others
     /// told.
-    pub(crate) fn note_crash(&self, content: Content, crash: &Crash, now: Instant) {
+    pub(crate) fn note_crash(&self, content: Fingerprint, crash: &Crash, now: Instant) {
         let verdict = self.take_crash(content, crash, now);
         if verdict == Verdict::Known {
             return;
@@ -77,7 +77,7 @@
         if verdict == Verdict::Held && self.peers.borrow().ready_before(now) == 0 {
             self.keep_record(told.content);
         }
-        let left = self.quarantine.borrow().holds(told.content, now);
+        let left = self.quarantine.borrow().time_left(told.content, now);
         if let (Verdict::Held | Verdict::HeldBefore, Some(left)) = (verdict, left) {
             let held = Alarm::Held(told.content, now + left);
             self.alarms.tell_one(held, from);
@@ -93,7 +93,7 @@
     }
 
     /// Takes that a request was served whole at another entry.
-    pub(crate) fn hear_of_service(&self, content: Content) {
+    pub(crate) fn hear_of_service(&self, content: Fingerprint) {
         self.clear(content);
     }
 
@@ -112,25 +112,28 @@
             return;
         }
         self.hold(hold.content, left, "the store has it on record", now);
-        self.quarantine.borrow_mut().check(hold.content, true);
+        self.quarantine.borrow_mut().note_record(hold.content, true);
     }
 
     /// Has what is held and missing from the store's records written there, by the first
     /// entry of a data centre: the one that was to do so may have ended.
     pub(super) fn complete_records(&self, now: Instant) {
-        let held: Vec<_> = self.quarantine.borrow().all(now).collect();
+        let held: Vec<_> = self.quarantine.borrow().quarantined(now).collect();
         if held.is_empty() || self.peers.borrow().ready_before(now) > 0 {
             return;
         }
         for (content, _) in held {
-            if self.quarantine.borrow_mut().check(content, false) {
+            if self.quarantine.borrow_mut().note_record(content, false) {
                 self.keep_record(content);
             }
         }
     }
 
-    fn take_crash(&self, content: Content, crash: &Crash, now: Instant) -> Verdict {
-        let verdict = self.quarantine.borrow_mut().take(content, crash, now);
+    fn take_crash(&self, content: Fingerprint, crash: &Crash, now: Instant) -> Verdict {
+        let verdict = self
+            .quarantine
+            .borrow_mut()
+            .record_crash(content, crash, now);
         if verdict != Verdict::Known {
             let endpoint = crash.endpoint.as_str();
             let ago = millis(now.saturating_duration_since(crash.at));
@@ -140,8 +143,8 @@
         verdict
     }
 
-    fn hold(&self, content: Content, left: Duration, cause: &str, now: Instant) -> bool {
-        let new = self.quarantine.borrow_mut().hold(content, left, now);
+    fn hold(&self, content: Fingerprint, left: Duration, cause: &str, now: Instant) -> bool {
+        let new = self.quarantine.borrow_mut().add(content, left, now);
         if new {
             tracing::warn!(%content, left_ms = millis(left), cause, "request held");
         }
@@ -149,19 +152,19 @@
         new
     }
 
-    fn clear(&self, content: Content) -> Option<bool> {
+    fn clear(&self, content: Fingerprint) -> Option<bool> {
         let held = self.quarantine.borrow_mut().clear(content, clock::now())?;
         tracing::info!(%content, held, "request cleared: it was served");
         self.gauge_held();
         Some(held)
     }
 
-    fn keep_record(&self, content: Content) {
+    fn keep_record(&self, content: Fingerprint) {
         self.records.push(Write::Keep(content));
     }
 
     fn gauge_held(&self) {
-        let held = self.quarantine.borrow().held();
+        let held = self.quarantine.borrow().quarantined_len();
         metrics::gauge!(metric::GATEWAY_HELD).set(u32::try_from(held).unwrap_or(u32::MAX));
     }
 
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -22,7 +22,7 @@
 
 /// A part of it, which is free again once this is dropped.
 #[derive(Debug)]
-pub struct Held {
+pub struct Reservation {
     permit: OwnedSemaphorePermit,
 }
 
@@ -38,16 +38,16 @@
 
     /// Takes what a request needs without its body; `None` if there is no room.
     #[must_use]
-    pub fn begin(&self) -> Option<Held> {
+    pub fn reserve(&self) -> Option<Reservation> {
         let permit = Arc::clone(&self.free).try_acquire_many_owned(REQUEST_BYTES);
-        Some(Held {
+        Some(Reservation {
             permit: permit.ok()?,
         })
     }
 
     /// Adds so many bytes to what a request holds; tells whether there was room.
     #[must_use]
-    pub fn add(&self, held: &mut Held, bytes: usize) -> bool {
+    pub fn grow(&self, held: &mut Reservation, bytes: usize) -> bool {
         let Ok(bytes) = u32::try_from(bytes) else {
             return false;
         };
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -21,7 +21,7 @@
     /// Where it is asked whether it is ready.
     pub readiness: SocketAddr,
     /// Where callers ask which entries to use.
-    pub directory: SocketAddr,
+    pub resolver: SocketAddr,
     /// Where entries and agents send each other datagrams.
     pub peers: SocketAddr,
     /// Where metrics are scraped.
@@ -32,16 +32,16 @@
     pub store: SocketAddr,
     /// The longest time for which a taken-away key may still work; `None` if
     /// that isn't bounded.
-    pub revocation: Option<Duration>,
+    pub revocation_bound: Option<Duration>,
     /// The memory of the host, in bytes.
     pub memory: u64,
     /// The time within which an endpoint that leaves has to be known.
-    pub leaving: Duration,
+    pub leaving_bound: Duration,
     /// The time within which a data centre that operators evacuate gets nothing more; `None`
     /// if they evacuate none.
-    pub evacuation: Option<Duration>,
+    pub evacuation_bound: Option<Duration>,
     /// What an endpoint bears while it is cold, beyond the rate that operators state.
-    pub cold: Tolerance,
+    pub warm_up: Tolerance,
     /// The time that a stop may take.
     pub grace: Duration,
     /// Repeated sends allowed for each request.
@@ -52,5 +52,5 @@
     /// The span over which repeated sends are counted.
     pub retry_window: Duration,
     /// The longest time that callers keep a list of addresses.
-    pub list_time_max: Duration,
+    pub address_ttl_max: Duration,
 }
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -19,15 +19,15 @@
 #[message]
 #[derive(Copy, Eq, PartialOrd, Ord)]
 #[serde(transparent)]
-pub struct Pace(u16);
+pub struct Slowdown(u16);
 
-impl Default for Pace {
+impl Default for Slowdown {
     fn default() -> Self {
         Self::from_factor(1.0)
     }
 }
 
-impl Pace {
+impl Slowdown {
     /// Takes a factor, within the bounds that are believed.
     #[must_use]
     #[expect(
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -7,9 +7,9 @@
 use cactusnotch_derive::message;
 use cactusnotch_position::Position;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::endpoint::Born;
-use crate::{Endpoint, Pace};
+use crate::{Endpoint, Slowdown};
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::limits::Word;
 
@@ -30,7 +30,7 @@
     /// The part of the memory for prompts that is in use, in thousandths.
     pub memory: u16,
     /// How slow the endpoint is.
-    pub pace: Pace,
+    pub pace: Slowdown,
 }
 
 /// An entry as it makes itself known to others.
@@ -72,7 +72,7 @@
     /// An entry holds a request.
     Held(Held),
     /// A request was served whole that others may suspect or hold.
-    Served(Content),
+    Served(Fingerprint),
     /// What an entry knows of endpoints' limits.
     Limits(Vec<Limit>),
 }
@@ -81,7 +81,7 @@
 #[message]
 pub struct Crash {
     /// What all attempts of the request have in common.
-    pub content: Content,
+    pub content: Fingerprint,
     /// The life of the endpoint.
     pub endpoint: String,
     /// How long ago the request was sent there, in milliseconds.
@@ -94,7 +94,7 @@
 #[message]
 pub struct Held {
     /// What all attempts of the request have in common.
-    pub content: Content,
+    pub content: Fingerprint,
     /// How long it is held still, in milliseconds.
     pub left: u32,
 }
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -12,14 +12,14 @@
 use http_body_util::BodyExt;
 
 use crate::crash;
-use crate::decide::{Course, Failure, Next};
+use crate::decide::{Failure, Lifecycle, Next};
 use crate::dialect::Dialect;
 use crate::events::Events;
 use crate::exchange::{self, Failed, Reply};
 use crate::knowledge::Knowledge;
 use crate::pieces::Sender;
 use crate::request::Call;
-use crate::route::Repeat;
+use crate::route::RetryPolicy;
 
 /// How an answer ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
@@ -42,7 +42,7 @@
 pub(crate) struct Pump {
     pub(crate) knowledge: Rc<Knowledge>,
     pub(crate) call: Call,
-    pub(crate) course: Course,
+    pub(crate) lifecycle: Lifecycle,
     pub(crate) tried: Vec<name::Endpoint>,
     pub(crate) sender: Sender,
     /// How often a stream was continued at another endpoint.
@@ -70,15 +70,15 @@
 impl Part {
     /// Returns that the stream is to go on elsewhere, since `cause`.
     fn broken(cause: &str) -> Self {
-        Self::Broken(Failed::new(Failure::InDoubt, cause))
+        Self::Broken(Failed::new(Failure::Uncertain, cause))
     }
 }
 
 impl Pump {
     /// Passes `reply` on, after the bytes `first` that were read already.
     pub(crate) async fn run<D: Dialect>(mut self, mut reply: Reply, first: Bytes) -> (End, Self) {
-        let resumable =
-            self.call.judged.route.repeat == Repeat::Resume && is_open_stream(&reply.head);
+        let resumable = self.call.judged.route.retry_policy == RetryPolicy::Resume
+            && is_open_stream(&reply.head);
         let mut events = resumable.then(|| Events::new(self.call.head.last_event));
         if !first.is_empty() && self.sender.send(first).await.is_err() {
             return (End::Left, self);
@@ -124,9 +124,9 @@
                 biased;
                 () = self.sender.closed() => return Part::End(End::Left),
                 frame = body.frame() => frame,
-                () = self.knowledge.wake.due(until) => return Part::End(End::TimeUp),
+                () = self.knowledge.wake.wait_until(until) => return Part::End(End::TimeUp),
                 () = exchange::lost(&self.knowledge, &self.call, &self.tried, running.endpoint()),
-                    if events.is_some() && self.course.may_repeat() =>
+                    if events.is_some() && self.lifecycle.may_retry() =>
                 {
                     running.failed();
                     metrics::counter!(metric::GATEWAY_MOVED).increment(1);
@@ -171,7 +171,7 @@
             let fleet = self.knowledge.fleet.borrow();
             fleet.is_straggler(endpoint.as_str(), now)
         };
-        self.course.may_repeat()
+        self.lifecycle.may_retry()
             && straggles()
             && exchange::may_move(&self.knowledge, &self.call, &self.tried, now)
     }
@@ -193,10 +193,10 @@
             self.examine(&mut failure).await;
             let now = clock::now();
             let service = self.call.judged.service.clone();
-            let affordable = || self.knowledge.budgets.borrow_mut().spend(&service, now);
-            let next = self.course.fail(failure.failure, affordable);
+            let affordable = || self.knowledge.budgets.borrow_mut().try_spend(&service, now);
+            let next = self.lifecycle.after_failure(failure.failure, affordable);
             let id = self.call.head.id.as_deref();
-            tracing::info!(id, content = %self.call.content(), after = last, cause = failure.cause, next = ?next, "stream broken at its endpoint");
+            tracing::info!(id, content = %self.call.fingerprint(), after = last, cause = failure.cause, next = ?next, "stream broken at its endpoint");
             if matches!(next, Next::Give(_)) || now >= self.call.until {
                 return None;
             }
@@ -206,7 +206,7 @@
             let sending = exchange::send::<D>(
                 &self.knowledge,
                 &self.call,
-                &mut self.course,
+                &mut self.lifecycle,
                 &endpoint,
                 running,
                 last,
@@ -216,7 +216,7 @@
                 biased;
                 () = self.sender.closed() => return None,
                 sent = sending => sent,
-                () = self.knowledge.wake.due(until) => return None,
+                () = self.knowledge.wake.wait_until(until) => return None,
             };
             match sent {
                 Ok(reply) if reply.head.status.is_success() => {
@@ -225,7 +225,7 @@
                 }
                 Ok(reply) => {
                     let cause = format!("the endpoint answered {}", reply.head.status);
-                    failure = Failed::new(Failure::InDoubt, &cause);
+                    failure = Failed::new(Failure::Uncertain, &cause);
                 }
                 Err(failed) => failure = failed,
             }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -10,16 +10,16 @@
 use cactusnotch_base::clock::Instant;
 use cactusnotch_derive::record;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 
 /// The ends of endpoints from which on a request is held. One may have any cause, and one to
 /// three requests that are innocent stood where a server ended in a recorded hour; a second
 /// run that began after the first had ended and ends the same way tells them apart. A third
 /// would cost a further group of ranks for some five seconds.
-pub const CRASHES: usize = 2;
+pub const CRASH_THRESHOLD: usize = 2;
 /// How long a request is held: long enough that callers who come again don't get through,
 /// and an end to what the next version of a model may have mended.
-pub const HOLD_TIME: Duration = Duration::from_hours(1);
+pub const QUARANTINE_TIME: Duration = Duration::from_hours(1);
 /// How long an end is remembered of a request that is not held. Callers come again within
 /// seconds; their users, within minutes.
 const SUSPECT_TIME: Duration = Duration::from_mins(10);
@@ -99,10 +99,10 @@
 /// The requests under which endpoints have ended.
 #[derive(Debug, Default)]
 pub struct Quarantine {
-    rows: Table<Content, Row>,
+    rows: Table<Fingerprint, Row>,
     /// Requests that were held and served since, with when that is forgotten: the store may
     /// show their records once more.
-    cleared: Table<Content, Instant>,
+    cleared: Table<Fingerprint, Instant>,
 }
 
 impl Quarantine {
@@ -120,13 +120,13 @@
 
     /// Returns how many requests are held.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn quarantined_len(&self) -> usize {
         let held = |row: &&Row| row.held_until.is_some();
         self.rows.values().filter(held).count()
     }
 
     /// Takes that an endpoint ended under the request `content`.
-    pub fn take(&mut self, content: Content, crash: &Crash, now: Instant) -> Verdict {
+    pub fn record_crash(&mut self, content: Fingerprint, crash: &Crash, now: Instant) -> Verdict {
         self.make_room(content);
         let until = now + SUSPECT_TIME;
         let row = self.rows.get_or_insert_with(content, || Row::new(until));
@@ -139,19 +139,19 @@
         }
         row.crashes.push(crash.clone());
         row.until = until;
-        if row.separate() < CRASHES {
+        if row.separate() < CRASH_THRESHOLD {
             return Verdict::Suspected;
         }
-        row.hold(now + HOLD_TIME);
+        row.hold(now + QUARANTINE_TIME);
         self.cleared.remove(&content);
         Verdict::Held
     }
 
     /// Takes from elsewhere that the request is held for `left`, at most [`HOLD_TIME`];
     /// returns whether that is new.
-    pub fn hold(&mut self, content: Content, left: Duration, now: Instant) -> bool {
+    pub fn add(&mut self, content: Fingerprint, left: Duration, now: Instant) -> bool {
         self.make_room(content);
-        let until = now + left.min(HOLD_TIME);
+        let until = now + left.min(QUARANTINE_TIME);
         let row = self.rows.get_or_insert_with(content, || Row::new(until));
         if row.held_until.is_some() {
             return false;
@@ -162,14 +162,14 @@
 
     /// Returns how long the request is held still, if it is.
     #[must_use]
-    pub fn holds(&self, content: Content, now: Instant) -> Option<Duration> {
+    pub fn time_left(&self, content: Fingerprint, now: Instant) -> Option<Duration> {
         let until = self.rows.get(&content)?.held_until?;
         until.checked_duration_since(now)
     }
 
     /// Takes that the request was served whole, so that it was not what ended endpoints;
     /// returns whether it was held, or `None` if nothing was remembered of it.
-    pub fn clear(&mut self, content: Content, now: Instant) -> Option<bool> {
+    pub fn clear(&mut self, content: Fingerprint, now: Instant) -> Option<bool> {
         let row = self.rows.remove(&content)?;
         let was_held = row.held_until.is_some();
         if was_held {
@@ -180,7 +180,7 @@
 
     /// Tells whether the request was held and has been served since, not long ago.
     #[must_use]
-    pub fn is_cleared(&self, content: Content, now: Instant) -> bool {
+    pub fn is_cleared(&self, content: Fingerprint, now: Instant) -> bool {
         self.cleared.get(&content).is_some_and(|until| *until > now)
     }
 
@@ -193,7 +193,7 @@
 
     /// Takes that the store's record names the request or not; returns whether it is to be
     /// written there.
-    pub fn check(&mut self, content: Content, recorded: bool) -> bool {
+    pub fn note_record(&mut self, content: Fingerprint, recorded: bool) -> bool {
         let Some(row) = self.rows.get_mut(&content) else {
             return false;
         };
@@ -203,7 +203,7 @@
     }
 
     /// Returns the requests that are held, each with how long it is so.
-    pub fn all(&self, now: Instant) -> impl Iterator<Item = (Content, Duration)> {
+    pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
         let left = move |row: &Row| row.held_until?.checked_duration_since(now);
         let rows = self.rows.iter();
         rows.filter_map(move |(content, row)| Some((*content, left(row)?)))
@@ -216,7 +216,7 @@
     }
 
     /// Makes room for a request, by the one that would be forgotten first.
-    fn make_room(&mut self, content: Content) {
+    fn make_room(&mut self, content: Fingerprint) {
         if self.rows.len() < ROWS_MAX || self.rows.contains(&content) {
             return;
         }
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -13,7 +13,7 @@
 use http::StatusCode;
 use tokio::sync::Notify;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::knowledge::Knowledge;
 use crate::store::{Codec, Error, Hold, Kind, Store};
 
@@ -21,9 +21,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Write {
     /// Writes it.
-    Keep(Content),
+    Keep(Fingerprint),
     /// Removes it.
-    Erase(Content),
+    Erase(Fingerprint),
     /// Writes that an era of the store has settled.
     Settle(Era),
 }
@@ -95,16 +95,19 @@
 async fn keep<C: Codec>(
     knowledge: &Knowledge,
     store: &mut Store<C>,
-    content: Content,
+    content: Fingerprint,
 ) -> Result<(), Error> {
-    let left = knowledge.quarantine.borrow().holds(content, clock::now());
+    let left = knowledge
+        .quarantine
+        .borrow()
+        .time_left(content, clock::now());
     // It may have been cleared meanwhile.
     let Some(left) = left else {
         return Ok(());
     };
     let until = clock::wall() + left;
     done_before(store.hold(&Hold { content, until }).await)?;
-    knowledge.quarantine.borrow_mut().check(content, true);
+    knowledge.quarantine.borrow_mut().note_record(content, true);
     Ok(())
 }
 
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -123,14 +123,14 @@
             // One request is let in then, so that the others come after it.
             Self::Throttled { wait } => wait.max(COME_BACK).mul_f64(0.5 + spread),
             // Coming back sooner helps nobody.
-            Self::Held => quarantine::HOLD_TIME,
+            Self::Held => quarantine::QUARANTINE_TIME,
             _ => COME_BACK.mul_f64(spread),
         }
     }
 
     /// Returns the answer.
     pub fn response<D: Dialect>(self, after: Duration) -> Response<Bytes> {
-        let mut response = Response::new(D::explanation(&self.to_string()));
+        let mut response = Response::new(D::error_body(&self.to_string()));
         *response.status_mut() = self.status();
         let headers = response.headers_mut();
         headers.insert(
@@ -138,7 +138,7 @@
             HeaderValue::from_static("application/json"),
         );
         if self.may_come_back() {
-            D::come_back(headers, after);
+            D::set_retry_after(headers, after);
         }
         response
     }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -59,12 +59,12 @@
     let old = knowledge.options();
     let moved = old.listen != new.listen
         || old.readiness != new.readiness
-        || old.directory != new.directory
+        || old.resolver != new.resolver
         || old.peers != new.peers
         || old.metrics != new.metrics;
     if moved {
         tracing::warn!("new addresses are used from the next start on");
     }
-    tracing::info!(grace = ?new.grace, revocation = ?new.revocation, retry_ratio = new.retry_ratio, "settings reloaded");
+    tracing::info!(grace = ?new.grace, revocation = ?new.revocation_bound, retry_ratio = new.retry_ratio, "settings reloaded");
     knowledge.set_options(new);
 }
--- a/crates/gateway/src/renewal.rs
+++ b/crates/gateway/src/renewal.rs
@@ -18,7 +18,7 @@
     let mut store = knowledge.store::<C>();
     loop {
         tokio::time::sleep(PROOF_LOOK).await;
-        knowledge.wake.look();
+        knowledge.wake.check();
         let now = clock::now();
         if !knowledge.needs_proof(now) {
             continue;
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -13,10 +13,10 @@
 
 use crate::admission::Caller;
 use crate::configuration::{Configuration, Organisation};
-use crate::content::{self, Content};
+use crate::content::{self, Fingerprint};
 use crate::dialect::{Dialect, Head, Hop};
 use crate::endpoint::Endpoint;
-use crate::memory::Held;
+use crate::memory::Reservation;
 use crate::refusal::Refusal;
 use crate::route::Route;
 
@@ -58,7 +58,7 @@
     pub(crate) body: Bytes,
     /// The memory that it takes up.
     #[expect(dead_code, reason = "it is free again once the call is dropped")]
-    pub(crate) room: Held,
+    pub(crate) room: Reservation,
     pub(crate) head: Head,
     pub(crate) judged: Judged,
     /// Whether the caller was refused before.
@@ -68,7 +68,7 @@
     /// When the final answer is due.
     pub(crate) until: Instant,
     /// Worked out only when it is asked for.
-    pub(crate) digest: OnceCell<Content>,
+    pub(crate) digest: OnceCell<Fingerprint>,
 }
 
 /// Finds the route and the organisation of a request.
@@ -90,7 +90,7 @@
     let service = route.service(draw).ok_or(Refusal::NoRoute)?;
     let bound = organisation.map_or_else(Vec::new, |o| o.homes.clone());
     Ok(Judged {
-        homes: both(&route.homes, &bound),
+        homes: both(&route.allowed_regions, &bound),
         service: service.to_owned(),
         organisation: organisation.cloned(),
         route: route.clone(),
@@ -132,14 +132,14 @@
     /// Returns when the final answer of a request that arrived at `arrived`
     /// is due.
     pub(crate) fn due(route: &Route, head: &Head, arrived: Instant) -> Instant {
-        arrived + head.patience.unwrap_or(PATIENCE).min(route.timeout)
+        arrived + head.time_budget.unwrap_or(PATIENCE).min(route.timeout)
     }
 
     /// Returns what other attempts of this request have in common with it.
-    pub(crate) fn content(&self) -> Content {
+    pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.digest.get_or_init(|| {
             let host = self.headers.get(header::HOST);
-            Content::of(&content::Parts {
+            Fingerprint::of(&content::Parts {
                 organisation: self.judged.organisation.as_ref().map(|o| o.name.as_str()),
                 method: &self.method,
                 host: host.map(http::HeaderValue::as_bytes).unwrap_or_default(),
@@ -181,7 +181,7 @@
         let hop = Hop {
             endpoint: &endpoint.instance,
             organisation: self.judged.organisation.as_ref().map(|o| o.name.as_str()),
-            left: Some(self.until.saturating_duration_since(now)),
+            time_left: Some(self.until.saturating_duration_since(now)),
             last_event,
             urgency: self.judged.route.streaming.then(|| self.urgency()),
         };
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -7,7 +7,7 @@
 /// What may be done with a request that might have run already.
 #[record]
 #[derive(Copy)]
-pub enum Repeat {
+pub enum RetryPolicy {
     /// It may run more than once.
     Idempotent,
     /// It runs at most once.
@@ -36,23 +36,23 @@
     /// How a request's path must begin; it begins and ends with a slash.
     pub prefix: String,
     /// What may be done with a request that might have run.
-    pub repeat: Repeat,
+    pub retry_policy: RetryPolicy,
     /// Whether answers are streams of events.
     pub streaming: bool,
     /// The longest time until a final answer.
     pub timeout: Duration,
     /// The time within which an answer is worth most.
-    pub target: Duration,
+    pub target_latency: Duration,
     /// The longest pause between events of a stream that is still on time.
-    pub pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// The rank of its requests; lower ones go first.
     pub priority: u32,
     /// The most endpoints that one request may be sent to.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Whether requests need no key.
     pub anonymous: bool,
     /// The regions whose endpoints may get its requests, none for all regions.
-    pub homes: Vec<String>,
+    pub allowed_regions: Vec<String>,
     /// The services that take its requests.
     pub backends: Vec<Backend>,
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -18,7 +18,7 @@
 use tokio::sync::watch;
 
 use crate::connection;
-use crate::dialect::{Dialect, Question};
+use crate::dialect::{AddressQuery, Dialect};
 use crate::knowledge::Knowledge;
 use crate::tcp;
 
@@ -64,10 +64,12 @@
 }
 
 /// Answers questions for readiness and for addresses.
-pub(crate) async fn questions<D: Dialect>(knowledge: Rc<Knowledge>, listener: TcpListener) {
+pub(crate) async fn queries<D: Dialect>(knowledge: Rc<Knowledge>, listener: TcpListener) {
     accept(listener, |stream| {
         let knowledge = Rc::clone(&knowledge);
-        answer(stream, move |request| question::<D>(&knowledge, request))
+        answer(stream, move |request| {
+            answer_query::<D>(&knowledge, request)
+        })
     })
     .await;
 }
@@ -100,14 +102,14 @@
 
 /// Returns the regions whose entries a caller may be sent to, `None` for all: those of the
 /// host's routes, if any is bound to some, and the caller's own.
-fn homes(knowledge: &Knowledge, question: &Question) -> Option<Vec<String>> {
+fn homes(knowledge: &Knowledge, query: &AddressQuery) -> Option<Vec<String>> {
     let configuration = knowledge.configuration()?;
-    let homes = configuration.homes(question.host.as_deref()?)?;
-    let homes = homes.into_iter().chain(question.region.as_deref());
+    let homes = configuration.homes(query.host.as_deref()?)?;
+    let homes = homes.into_iter().chain(query.region.as_deref());
     Some(homes.map(str::to_owned).collect())
 }
 
-fn question<D: Dialect>(
+fn answer_query<D: Dialect>(
     knowledge: &Knowledge,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
@@ -117,19 +119,19 @@
         *response.status_mut() = status;
         response
     };
-    if D::asks_ready(request.uri()) {
+    if D::is_readiness_query(request.uri()) {
         return status(if knowledge.ready(now) {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
         });
     }
-    let Some(question) = D::question(request.uri()) else {
+    let Some(query) = D::address_query(request.uri()) else {
         return status(StatusCode::NOT_FOUND);
     };
     let options = knowledge.options();
     let serving = knowledge.stopping.get().is_none() && knowledge.configuration().is_some();
-    let homes = homes(knowledge, &question);
+    let homes = homes(knowledge, &query);
     let is_home = |data_centre: &str| {
         let regions = homes.as_ref();
         regions.is_none_or(|homes| options.regions.are_home(homes, data_centre))
@@ -137,7 +139,7 @@
     let own_is_home = is_home(&options.data_centre);
     let ready = (knowledge.ready(now) && own_is_home).then_some(options.listen);
     let peers = knowledge.peers.borrow();
-    let mut list = peers.list_within(question.data_centre.as_deref(), ready, is_home, now);
+    let mut list = peers.list_within(query.data_centre.as_deref(), ready, is_home, now);
     if list.is_empty() && serving && own_is_home {
         // While the store is away no entry is ready, and each still serves
         // what needs no fresh proof.
@@ -146,7 +148,7 @@
     if list.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let body = D::addresses(&list, LIST_TIME.min(options.list_time_max));
+    let body = D::addresses(&list, LIST_TIME.min(options.address_ttl_max));
     let mut response = Response::new(Full::new(body));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -14,7 +14,7 @@
 
 use crate::channel;
 use crate::client::Client;
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::peer::Entry;
 use crate::{Configuration, Endpoint};
 
@@ -66,7 +66,7 @@
 #[derive(Copy)]
 pub struct Hold {
     /// What all attempts of the request have in common.
-    pub content: Content,
+    pub content: Fingerprint,
     /// Until when, by the time of day: the record outlives all steady clocks, and some
     /// seconds more or less of an hour matter to nobody.
     pub until: SystemTime,
@@ -124,7 +124,7 @@
     fn hold(hold: &Hold) -> Request<Bytes>;
 
     /// Writes the call that removes the record of a held request.
-    fn release(content: Content) -> Request<Bytes>;
+    fn release(content: Fingerprint) -> Request<Bytes>;
 
     /// Writes the call that creates the record of a settled era.
     fn create_settled(era: Era) -> Request<Bytes>;
@@ -339,7 +339,7 @@
     /// # Errors
     ///
     /// Returns why it could not be removed; it may be removed all the same.
-    pub async fn release(&mut self, content: Content) -> Result<(), Error> {
+    pub async fn release(&mut self, content: Fingerprint) -> Result<(), Error> {
         self.call(C::release(content), CALL_TIMEOUT).await.map(drop)
     }
 
--- a/crates/gateway/src/patience.rs
+++ b/crates/gateway/src/time_budget.rs
@@ -16,13 +16,13 @@
 
 /// How long the callers of each route wait, by what they state.
 #[derive(Debug, Default)]
-pub struct Patience {
+pub struct TimeBudgets {
     longest: Table<String, Duration>,
 }
 
-impl Patience {
+impl TimeBudgets {
     /// Forgets the routes that are no longer there.
-    pub fn keep(&mut self, routes: &[Route]) {
+    pub fn retain_routes(&mut self, routes: &[Route]) {
         let mut names: Vec<_> = routes.iter().map(|route| route.name.as_str()).collect();
         names.sort_unstable();
         self.longest
--- a/crates/gateway/src/wake.rs
+++ b/crates/gateway/src/wake.rs
@@ -18,13 +18,13 @@
 
 /// Notices that the host has slept.
 #[derive(Debug)]
-pub struct Wake {
+pub struct SuspendDetector {
     /// What the clock and the runtime's timers showed when they were last compared.
     seen: Cell<(Instant, tokio::time::Instant)>,
     slept: Notify,
 }
 
-impl Default for Wake {
+impl Default for SuspendDetector {
     fn default() -> Self {
         Self {
             seen: Cell::new(read()),
@@ -33,10 +33,10 @@
     }
 }
 
-impl Wake {
+impl SuspendDetector {
     /// Compares the clock with the runtime's timers; tells whether the host has slept since
     /// that was done last.
-    pub fn look(&self) -> bool {
+    pub fn check(&self) -> bool {
         let (clock, timers) = read();
         let (clock_before, timers_before) = self.seen.replace((clock, timers));
         let passed = clock.saturating_duration_since(clock_before);
@@ -51,7 +51,7 @@
     }
 
     /// Waits until `moment`.
-    pub async fn due(&self, moment: Instant) {
+    pub async fn wait_until(&self, moment: Instant) {
         loop {
             let slept = self.slept.notified();
             let left = moment.left();
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -8,9 +8,9 @@
 
 use std::time::Duration;
 
-use cactusnotch_gateway::admission::{Caller, Forecast, RETURNED_WAIT, Terms, admits};
+use cactusnotch_gateway::admission::{Caller, Forecast, RETURNED_WAIT, Targets, admits};
 
-const TERMS: Terms = Terms {
+const TERMS: Targets = Targets {
     target: Duration::from_millis(400),
     pause: Some(Duration::from_millis(120)),
 };
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_plain_request_has_no_passes() {
-    let plain = Terms {
+    let plain = Targets {
         pause: None,
         ..TERMS
     };
--- a/crates/gateway/tests/asleep.rs
+++ b/crates/gateway/tests/asleep.rs
@@ -7,12 +7,12 @@
 
 use cactusnotch_base::clock::{self, Sleep};
 use cactusnotch_gateway::absence::Absence;
-use cactusnotch_gateway::budget::Budgets;
-use cactusnotch_gateway::content::{Content, Parts};
+use cactusnotch_gateway::budget::RetryBudgets;
+use cactusnotch_gateway::content::{Fingerprint, Parts};
 use cactusnotch_gateway::freshness::Freshness;
 use cactusnotch_gateway::peer::Entry;
 use cactusnotch_gateway::peers::Peers;
-use cactusnotch_gateway::quarantine::{HOLD_TIME, Quarantine};
+use cactusnotch_gateway::quarantine::{QUARANTINE_TIME, Quarantine};
 use cactusnotch_gateway::questions::Questions;
 use http::Method;
 
@@ -79,17 +79,17 @@
 #[test]
 fn requests_from_before_pay_for_no_repeats() {
     let window = SLEPT / 2;
-    let mut budgets = Budgets::new(1.0, window);
+    let mut budgets = RetryBudgets::new(1.0, window);
     sleep_after(|| {
-        (0..10).for_each(|_| budgets.earn("svc", clock::now()));
-        assert!(budgets.affords("svc", clock::now()));
+        (0..10).for_each(|_| budgets.record_request("svc", clock::now()));
+        assert!(budgets.can_retry("svc", clock::now()));
     });
-    assert!(!budgets.affords("svc", clock::now()));
+    assert!(!budgets.can_retry("svc", clock::now()));
 }
 
 #[test]
 fn a_hold_has_less_time_left() {
-    let content = Content::of(&Parts {
+    let content = Fingerprint::of(&Parts {
         organisation: None,
         method: &Method::GET,
         host: b"shop.example",
@@ -97,7 +97,7 @@
         body: b"",
     });
     let mut quarantine = Quarantine::default();
-    sleep_after(|| quarantine.hold(content, HOLD_TIME, clock::now()));
-    let left = quarantine.holds(content, clock::now());
-    assert!(left <= HOLD_TIME.checked_sub(SLEPT));
+    sleep_after(|| quarantine.add(content, QUARANTINE_TIME, clock::now()));
+    let left = quarantine.time_left(content, clock::now());
+    assert!(left <= QUARANTINE_TIME.checked_sub(SLEPT));
 }
--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Instant};
-use cactusnotch_gateway::budget::Budgets;
+use cactusnotch_gateway::budget::RetryBudgets;
 use cactusnotch_gateway::freshness::Freshness;
 use cactusnotch_gateway::peer::Entry;
 use cactusnotch_gateway::peers::Peers;
@@ -21,7 +21,7 @@
         steps in proptest::collection::vec((0_u64..400, any::<bool>()), 1..600),
     ) {
         let start = clock::now();
-        let mut budgets = Budgets::new(0.2, WINDOW);
+        let mut budgets = RetryBudgets::new(0.2, WINDOW);
         let mut now = start;
         let mut requests = Vec::new();
         let mut repeats = Vec::new();
@@ -29,13 +29,13 @@
             now += Duration::from_millis(pause);
             if repeat {
                 // To ask costs nothing, and the answer is kept.
-                let affords = budgets.affords("s", now);
-                prop_assert_eq!(affords, budgets.spend("s", now));
+                let affords = budgets.can_retry("s", now);
+                prop_assert_eq!(affords, budgets.try_spend("s", now));
                 if affords {
                     repeats.push(now);
                 }
             } else {
-                budgets.earn("s", now);
+                budgets.record_request("s", now);
                 requests.push(now);
             }
         }
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -4,22 +4,22 @@
 
 use cactusnotch_gateway::Configuration;
 use cactusnotch_gateway::configuration::{Limits, Organisation, Parts};
-use cactusnotch_gateway::route::{Backend, Repeat, Route};
+use cactusnotch_gateway::route::{Backend, RetryPolicy, Route};
 
 fn route(host: &str, prefix: &str) -> Route {
     Route {
         name: format!("{host}{prefix}"),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Idempotent,
+        retry_policy: RetryPolicy::Idempotent,
         streaming: false,
         timeout: Duration::from_secs(1),
-        target: Duration::from_millis(100),
-        pause: None,
+        target_latency: Duration::from_millis(100),
+        max_event_gap: None,
         priority: 1,
-        attempts: 2,
+        max_attempts: 2,
         anonymous: false,
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         backends: vec![Backend {
             service: "s".to_owned(),
             weight: 1,
--- a/crates/gateway/tests/content.rs
+++ b/crates/gateway/tests/content.rs
@@ -1,6 +1,6 @@
 //! What tells one request from another over its attempts.
 
-use cactusnotch_gateway::content::{Content, Parts};
+use cactusnotch_gateway::content::{Fingerprint, Parts};
 use http::Method;
 
 const PARTS: Parts<'_> = Parts {
@@ -13,7 +13,7 @@
 
 #[test]
 fn an_attempt_has_the_content_of_the_one_before() {
-    assert_eq!(Content::of(&PARTS), Content::of(&PARTS.clone()));
+    assert_eq!(Fingerprint::of(&PARTS), Fingerprint::of(&PARTS.clone()));
 }
 
 #[test]
@@ -45,7 +45,11 @@
         },
     ];
     for other in others {
-        assert_ne!(Content::of(&PARTS), Content::of(&other), "{other:?}");
+        assert_ne!(
+            Fingerprint::of(&PARTS),
+            Fingerprint::of(&other),
+            "{other:?}"
+        );
     }
 }
 
@@ -56,14 +60,14 @@
         body: b"rompt",
         ..PARTS
     };
-    assert_ne!(Content::of(&PARTS), Content::of(&moved));
+    assert_ne!(Fingerprint::of(&PARTS), Fingerprint::of(&moved));
 }
 
 #[test]
 fn what_is_written_is_read_again() {
-    let content = Content::of(&PARTS);
-    assert_eq!(Content::parse(&content.to_string()), Some(content));
+    let content = Fingerprint::of(&PARTS);
+    assert_eq!(Fingerprint::parse(&content.to_string()), Some(content));
     for text in ["", "xyz", &"0".repeat(31), &"+".repeat(32), &"é".repeat(16)] {
-        assert_eq!(Content::parse(text), None, "{text}");
+        assert_eq!(Fingerprint::parse(text), None, "{text}");
     }
 }
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -7,15 +7,17 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Instant};
-use cactusnotch_gateway::content::{Content, Parts};
-use cactusnotch_gateway::quarantine::{CRASHES, Crash, HOLD_TIME, Quarantine, Verdict};
+use cactusnotch_gateway::content::{Fingerprint, Parts};
+use cactusnotch_gateway::quarantine::{
+    CRASH_THRESHOLD, Crash, QUARANTINE_TIME, Quarantine, Verdict,
+};
 use http::Method;
 use proptest::prelude::*;
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn content(number: u64) -> Content {
-    Content::of(&Parts {
+fn content(number: u64) -> Fingerprint {
+    Fingerprint::of(&Parts {
         organisation: Some("weavers"),
         method: &Method::POST,
         host: b"shop.example",
@@ -34,7 +36,7 @@
 }
 
 fn take(quarantine: &mut Quarantine, request: u64, crash: &Crash) -> Verdict {
-    quarantine.take(content(request), crash, crash.at)
+    quarantine.record_crash(content(request), crash, crash.at)
 }
 
 #[test]
@@ -45,11 +47,11 @@
     assert_eq!(first, Verdict::Suspected);
     assert_eq!(take(&mut quarantine, 1, &second), Verdict::Held);
     assert_eq!(
-        quarantine.holds(content(1), second.at + SECOND),
-        Some(HOLD_TIME.saturating_sub(SECOND))
+        quarantine.time_left(content(1), second.at + SECOND),
+        Some(QUARANTINE_TIME.saturating_sub(SECOND))
     );
     assert_eq!(
-        quarantine.holds(content(1), second.at + HOLD_TIME + SECOND),
+        quarantine.time_left(content(1), second.at + QUARANTINE_TIME + SECOND),
         None
     );
 }
@@ -62,7 +64,7 @@
     // A caller came back elsewhere, and that entry saw the same endpoint end.
     let later = crash(start, "a", 1_004, 1);
     assert_eq!(take(&mut quarantine, 1, &later), Verdict::Known);
-    assert_eq!(quarantine.holds(content(1), later.at), None);
+    assert_eq!(quarantine.time_left(content(1), later.at), None);
 }
 
 #[test]
@@ -73,7 +75,7 @@
         let end = crash(start, &format!("rack-{number}"), 1_000 + 5 * number, 300);
         assert_eq!(take(&mut quarantine, 1, &end), Verdict::Suspected);
     }
-    assert_eq!(quarantine.held(), 0);
+    assert_eq!(quarantine.quarantined_len(), 0);
 }
 
 #[test]
@@ -88,9 +90,9 @@
         let mut quarantine = Quarantine::default();
         for at in order {
             let now = start + 2 * SECOND;
-            quarantine.take(content(1), &ends[at], now);
+            quarantine.record_crash(content(1), &ends[at], now);
         }
-        assert_eq!(quarantine.held(), 1, "{order:?}");
+        assert_eq!(quarantine.quarantined_len(), 1, "{order:?}");
     }
 }
 
@@ -112,17 +114,20 @@
     assert!(!quarantine.is_empty());
     quarantine.expire(start + 11 * 60 * SECOND);
     assert!(quarantine.is_empty());
-    assert!(quarantine.hold(content(2), 5 * HOLD_TIME, start));
-    assert_eq!(quarantine.holds(content(2), start), Some(HOLD_TIME));
-    quarantine.expire(start + HOLD_TIME + SECOND);
+    assert!(quarantine.add(content(2), 5 * QUARANTINE_TIME, start));
+    assert_eq!(
+        quarantine.time_left(content(2), start),
+        Some(QUARANTINE_TIME)
+    );
+    quarantine.expire(start + QUARANTINE_TIME + SECOND);
     assert!(quarantine.is_empty());
 }
 
 #[test]
 fn a_hold_that_was_told_is_not_told_of_as_new_again() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
-    assert!(quarantine.hold(content(1), HOLD_TIME, start));
-    assert!(!quarantine.hold(content(1), HOLD_TIME, start));
+    assert!(quarantine.add(content(1), QUARANTINE_TIME, start));
+    assert!(!quarantine.add(content(1), QUARANTINE_TIME, start));
     let end = crash(start, "a", 1_000, 50);
     assert_eq!(take(&mut quarantine, 1, &end), Verdict::HeldBefore);
 }
@@ -131,25 +136,25 @@
 fn a_hold_is_recorded_once() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
     assert!(
-        !quarantine.check(content(1), false),
+        !quarantine.note_record(content(1), false),
         "nothing is known of it"
     );
     take(&mut quarantine, 1, &crash(start, "a", 1_000, 50));
-    assert!(!quarantine.check(content(1), false), "it is not held");
-    quarantine.hold(content(1), HOLD_TIME, start);
-    assert!(quarantine.check(content(1), false));
-    quarantine.check(content(1), true);
-    assert!(!quarantine.check(content(1), false));
+    assert!(!quarantine.note_record(content(1), false), "it is not held");
+    quarantine.add(content(1), QUARANTINE_TIME, start);
+    assert!(quarantine.note_record(content(1), false));
+    quarantine.note_record(content(1), true);
+    assert!(!quarantine.note_record(content(1), false));
 }
 
 #[test]
 fn however_many_are_suspected_the_table_is_bounded_and_holds_stay() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
-    quarantine.hold(content(u64::MAX), HOLD_TIME, start);
+    quarantine.add(content(u64::MAX), QUARANTINE_TIME, start);
     for number in 0..10_000 {
         take(&mut quarantine, number, &crash(start, "a", 1_000, 50));
     }
-    assert!(quarantine.holds(content(u64::MAX), start).is_some());
+    assert!(quarantine.time_left(content(u64::MAX), start).is_some());
     assert!(quarantine.len() <= 4_096);
 }
 
@@ -167,12 +172,12 @@
             .map(|(number, &(sent, ran))| crash(start, &number.to_string(), sent + ran, ran))
             .collect();
         for (taken, end) in ends.iter().enumerate() {
-            quarantine.take(content(1), end, start + 3 * SECOND);
+            quarantine.record_crash(content(1), end, start + 3 * SECOND);
             let known = &ends[..=taken];
             let pairs = known.iter().flat_map(|a| known.iter().map(move |b| (a, b)));
             let mut after = pairs.filter(|(a, b)| a.sent >= b.at);
-            prop_assert_eq!(CRASHES, 2);
-            prop_assert_eq!(quarantine.held() == 1, after.next().is_some());
+            prop_assert_eq!(CRASH_THRESHOLD, 2);
+            prop_assert_eq!(quarantine.quarantined_len() == 1, after.next().is_some());
         }
     }
 }
@@ -180,7 +185,7 @@
 #[test]
 fn a_record_from_before_a_request_was_served_does_not_hold_it_again() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
-    quarantine.hold(content(1), HOLD_TIME, start);
+    quarantine.add(content(1), QUARANTINE_TIME, start);
     assert!(!quarantine.is_cleared(content(1), start));
     assert_eq!(quarantine.clear(content(1), start), Some(true));
     assert!(quarantine.is_cleared(content(1), start + 30 * SECOND));
@@ -188,16 +193,16 @@
     // It ends endpoints all the same, later.
     take(&mut quarantine, 1, &crash(start, "a", 9_000, 50));
     take(&mut quarantine, 1, &crash(start, "b", 12_000, 50));
-    assert_eq!(quarantine.held(), 1);
+    assert_eq!(quarantine.quarantined_len(), 1);
     assert!(!quarantine.is_cleared(content(1), start + 13 * SECOND));
 }
 
 #[test]
 fn records_are_written_again_once_the_store_may_have_lost_them() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
-    quarantine.hold(content(1), HOLD_TIME, start);
-    assert!(!quarantine.check(content(1), true));
-    assert!(!quarantine.check(content(1), false));
+    quarantine.add(content(1), QUARANTINE_TIME, start);
+    assert!(!quarantine.note_record(content(1), true));
+    assert!(!quarantine.note_record(content(1), false));
     quarantine.forget_records();
-    assert!(quarantine.check(content(1), false));
+    assert!(quarantine.note_record(content(1), false));
 }
--- a/crates/gateway/tests/wake.rs
+++ b/crates/gateway/tests/wake.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Sleep};
-use cactusnotch_gateway::wake::Wake;
+use cactusnotch_gateway::wake::SuspendDetector;
 
 /// Far more than a test takes.
 const LONG: Duration = Duration::from_hours(1);
@@ -18,13 +18,13 @@
 #[test]
 fn what_became_due_in_a_sleep_is_due_once_the_sleep_is_noticed() {
     run(async {
-        let (sleep, wake) = (Sleep::default(), Wake::default());
+        let (sleep, wake) = (Sleep::default(), SuspendDetector::default());
         sleep.set();
-        let due = wake.due(clock::now() + LONG);
+        let due = wake.wait_until(clock::now() + LONG);
         let notices = async {
             tokio::task::yield_now().await;
             sleep.pass(2 * LONG);
-            assert!(wake.look());
+            assert!(wake.check());
         };
         tokio::join!(due, notices);
     });
@@ -33,13 +33,13 @@
 #[test]
 fn a_sleep_is_noticed_once_and_a_pause_is_none() {
     run(async {
-        let (sleep, wake) = (Sleep::default(), Wake::default());
+        let (sleep, wake) = (Sleep::default(), SuspendDetector::default());
         sleep.set();
-        assert!(!wake.look());
+        assert!(!wake.check());
         sleep.pass(Duration::from_millis(50));
-        assert!(!wake.look(), "less than clocks may be apart");
+        assert!(!wake.check(), "less than clocks may be apart");
         sleep.pass(Duration::from_secs(8));
-        assert!(wake.look());
-        assert!(!wake.look());
+        assert!(wake.check());
+        assert!(!wake.check());
     });
 }
--- a/crates/rebalance/src/agent.rs
+++ b/crates/rebalance/src/agent.rs
@@ -15,7 +15,7 @@
 
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_gateway::endpoint::Born;
-use cactusnotch_gateway::wake::Wake;
+use cactusnotch_gateway::wake::SuspendDetector;
 use cactusnotch_gateway::{datagram, peer, reload, serve_metrics, store, tcp};
 use cactusnotch_telemetry::Exporter;
 use derive_more::{Display, Error};
@@ -116,7 +116,7 @@
     /// Who completes a silent leader's round and asked for words, and when.
     finisher: Option<(SocketAddr, Instant)>,
     cadence: Cadence,
-    wake: Wake,
+    wake: SuspendDetector,
     lost: bool,
     /// When the endpoint started, as it said last.
     born: Option<Born>,
@@ -150,7 +150,7 @@
             asked: None,
             finisher: None,
             cadence: Cadence::default(),
-            wake: Wake::default(),
+            wake: SuspendDetector::default(),
             lost: false,
             born: None,
             options,
@@ -260,7 +260,7 @@
 
     /// Reads the endpoint's state and goes on from it.
     async fn look(&mut self, sockets: &Sockets, now: Instant) {
-        if self.wake.look() {
+        if self.wake.check() {
             // A hold never expires, and who asked for one has given it up or asks again.
             self.asked = None;
         }
--- a/crates/rebalance/src/agent/orders.rs
+++ b/crates/rebalance/src/agent/orders.rs
@@ -9,7 +9,7 @@
 
 use super::sockets::{Sockets, send, send_bytes};
 use super::{Agent, Given};
-use crate::Pace;
+use crate::Slowdown;
 use crate::codec::{Codec, Order};
 use crate::coordinator::Event;
 use crate::endpoint::Endpoint;
@@ -211,7 +211,7 @@
     }
 }
 
-fn log(place: &Place, event: &Event, pass: u16, slowest: Pace) {
+fn log(place: &Place, event: &Event, pass: u16, slowest: Slowdown) {
     let group = place.group.as_str();
     match event {
         Event::Began(plan) => {
--- a/crates/rebalance/src/coordinator.rs
+++ b/crates/rebalance/src/coordinator.rs
@@ -18,7 +18,7 @@
 use crate::message::{Heard, Phase, Round, Standing};
 use crate::plan::{self, Plan};
 use crate::state::{Maps, Place};
-use crate::{Pace, Shape};
+use crate::{Shape, Slowdown};
 use cactusnotch_base::clock::Instant;
 
 /// How long a rank's word counts. Ranks repeat it several times a second.
@@ -170,7 +170,7 @@
 
     /// Returns the pace of the slowest rank.
     #[must_use]
-    pub fn slowest(&self) -> Pace {
+    pub fn slowest(&self) -> Slowdown {
         let paces = self.rows.iter().flatten().map(|row| row.standing.pace);
         paces.max().unwrap_or_default()
     }
--- a/crates/rebalance/src/endpoint.rs
+++ b/crates/rebalance/src/endpoint.rs
@@ -50,7 +50,7 @@
 impl From<Failure> for Error {
     fn from(failure: Failure) -> Self {
         match failure {
-            Failure::Silent(error) => Self::Channel(error),
+            Failure::NoAnswer(error) => Self::Channel(error),
             Failure::Refused(status) => Self::Refused(status),
         }
     }
@@ -99,6 +99,6 @@
     }
 
     async fn call(&mut self, request: Request<Bytes>, limit: Duration) -> Result<Bytes, Error> {
-        self.client.body(request, limit).await.map_err(Error::from)
+        self.client.fetch(request, limit).await.map_err(Error::from)
     }
 }
--- a/crates/rebalance/src/lib.rs
+++ b/crates/rebalance/src/lib.rs
@@ -36,6 +36,6 @@
 
 pub use agent::Agent;
 pub use cactusnotch_gateway::configuration::Shape;
-pub use cactusnotch_gateway::pace::{self, Pace};
+pub use cactusnotch_gateway::pace::{self, Slowdown};
 pub use map::Map;
 pub use rank::Rank;
--- a/crates/rebalance/src/message.rs
+++ b/crates/rebalance/src/message.rs
@@ -5,7 +5,7 @@
 use cactusnotch_derive::message;
 use serde_bytes::ByteBuf;
 
-use crate::Pace;
+use crate::Slowdown;
 use crate::map::Move;
 use crate::state::{Maps, Place};
 
@@ -19,7 +19,7 @@
     /// The maps of the rank.
     pub maps: Maps,
     /// How slow the rank is.
-    pub pace: Pace,
+    pub pace: Slowdown,
     /// The requests that run or wait there for each of its slots, in hundredths.
     pub fill: u16,
     /// The term of the leader that the agent has heard last.
--- a/crates/rebalance/src/rank.rs
+++ b/crates/rebalance/src/rank.rs
@@ -8,7 +8,7 @@
 use crate::message::{Phase, Standing};
 use crate::plan;
 use crate::state::{Maps, Place};
-use crate::{Pace, Shape};
+use crate::{Shape, Slowdown};
 
 /// The decisions of the agent beside one rank: its own part in each round,
 /// and the lead if it is rank 0.
@@ -58,9 +58,9 @@
 
     /// Returns the pace of the slowest rank, as far as this one leads.
     #[must_use]
-    pub fn slowest(&self) -> Pace {
+    pub fn slowest(&self) -> Slowdown {
         let lead = self.coordinator.as_ref();
-        lead.map_or_else(Pace::default, Coordinator::slowest)
+        lead.map_or_else(Slowdown::default, Coordinator::slowest)
     }
 
     /// Tells whether the leader has to be told which experts this rank holds.
--- a/crates/rebalance/src/state.rs
+++ b/crates/rebalance/src/state.rs
@@ -4,7 +4,7 @@
 
 use cactusnotch_gateway::endpoint::Born;
 
-use crate::Pace;
+use crate::Slowdown;
 
 /// A rank of a group, as its endpoint names it.
 #[message]
@@ -63,7 +63,7 @@
     /// The requests that wait.
     pub waiting: u32,
     /// How slow the rank is.
-    pub pace: Pace,
+    pub pace: Slowdown,
     /// The part of the memory for prompts that is in use, in thousandths.
     pub memory: u16,
 }
--- a/crates/rebalance/tests/coordinator.rs
+++ b/crates/rebalance/tests/coordinator.rs
@@ -9,7 +9,7 @@
 use cactusnotch_rebalance::plan;
 use cactusnotch_rebalance::price::Price;
 use cactusnotch_rebalance::state::{Maps, Place};
-use cactusnotch_rebalance::{Pace, Shape};
+use cactusnotch_rebalance::{Shape, Slowdown};
 
 /// The price of a copy: next to nothing, so that rounds follow each other.
 const PRICE: Price = Price {
@@ -41,7 +41,7 @@
         place: place(rank),
         open: true,
         maps,
-        pace: Pace::default(),
+        pace: Slowdown::default(),
         fill: 50,
         term: Some(term),
         met: None,
--- a/crates/rebalance/tests/datagrams.rs
+++ b/crates/rebalance/tests/datagrams.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use cactusnotch_gateway::endpoint::{Born, Endpoint};
-use cactusnotch_gateway::{Pace, datagram, peer};
+use cactusnotch_gateway::{Slowdown, datagram, peer};
 use cactusnotch_position::{Era, Position};
 use cactusnotch_rebalance::estimate::pack;
 use cactusnotch_rebalance::map::Move;
@@ -50,7 +50,7 @@
             place: place(),
             open: true,
             maps: Maps::default(),
-            pace: Pace::default(),
+            pace: Slowdown::default(),
             fill: 50,
             term: Some(1),
             met: None,
--- a/crates/rebalance/tests/world/mod.rs
+++ b/crates/rebalance/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use cactusnotch_rebalance::price::Price;
 use cactusnotch_rebalance::rescue::Rescue;
 use cactusnotch_rebalance::state::Place;
-use cactusnotch_rebalance::{Map, Pace, Rank, Shape};
+use cactusnotch_rebalance::{Map, Rank, Shape, Slowdown};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -359,10 +359,10 @@
 
     /// Returns how slow a rank is: by turns one of them is far slower, so that rounds
     /// take experts away from it.
-    fn pace(&self, at: usize) -> Pace {
+    fn pace(&self, at: usize) -> Slowdown {
         let turn = self.tick / 300 % (self.ranks as u64 + 1);
         let slow = usize::try_from(turn).is_ok_and(|slow| slow == at);
-        Pace::from_factor(if slow { 12.0 } else { 1.0 })
+        Slowdown::from_factor(if slow { 12.0 } else { 1.0 })
     }
 
     /// Completes a silent leader's round, and tells others that do.
