--- a/crates/gateway/src/knowledge/confirmation.rs
+++ b/crates/gateway/src/knowledge/confirmation.rs
@@ -39,9 +39,9 @@
     pub(crate) fn confirm_after(&self, now: Instant) -> Duration {
         let before = self.peers.borrow().ready_before(now);
         let options = self.options.borrow();
-        let leaving = options.leaving.div_f64(CONFIRM_LEAVING);
+        let leaving = options.leaving_bound.div_f64(CONFIRM_LEAVING);
         let bound = options
-            .revocation
+            .revocation_bound
             .map_or(leaving, |bound| bound.min(leaving));
         let later = CONFIRM_STEP * f64::from(before.min(CONFIRM_STEPS));
         let part = if before == 0 {
--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -7,7 +7,7 @@
 use rand::seq::IteratorRandom;
 
 use super::SharedState;
-use crate::dialect::Verdict;
+use crate::dialect::ResponseInfo;
 use crate::endpoint::Endpoint;
 use crate::fleet::{Exclusions, Update};
 use crate::journal::millis;
@@ -27,17 +27,17 @@
     pub(crate) fn apply_statement(
         &self,
         endpoint: &Endpoint,
-        verdict: &Verdict,
+        info: &ResponseInfo,
         sent: Option<Instant>,
         now: Instant,
     ) {
-        self.warn_unreadable(endpoint, &verdict.statement);
-        let ran = verdict.signed && !verdict.refused && !verdict.foreign;
+        self.warn_unreadable(endpoint, &info.statement);
+        let ran = info.signed && !info.refused && !info.foreign;
         let sent = sent.unwrap_or(now);
         let mut fleet = self.fleet.borrow_mut();
-        let update = fleet.apply_statement(endpoint, &verdict.statement, ran, sent, now);
+        let update = fleet.apply_statement(endpoint, &info.statement, ran, sent, now);
         drop(fleet);
-        log_update(endpoint, &update, &verdict.statement);
+        log_update(endpoint, &update, &info.statement);
         let Some(change) = update.limit else {
             return;
         };
--- a/crates/gateway/src/renewal.rs
+++ b/crates/gateway/src/renewal.rs
@@ -18,7 +18,7 @@
     let mut store = shared.store::<C>();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        shared.wake.look();
+        shared.wake.check();
         let now = clock::now();
         if !shared.needs_confirmation(now) {
             continue;
