--- a/crates/admit/examples/quota_cost.rs
+++ b/crates/admit/examples/quota_cost.rs
@@ -97,7 +97,7 @@
         node.confirm(Revision(1), start);
     }
     let home = |name: &&Process| names.binary_search(name).expect("the entry is known");
-    let homes = |key: &Key| nodes[0].homes(key).iter().map(home).collect();
+    let homes = |key: &Key| nodes[0].lenders(key).iter().map(home).collect();
     let homes: Vec<Vec<usize>> = keys.iter().map(homes).collect();
     let rng = &mut StdRng::seed_from_u64(4);
     let mut running: Vec<Vec<u32>> = vec![vec![0; keys.len()]; nodes.len()];
--- a/crates/admit/src/gate.rs
+++ b/crates/admit/src/gate.rs
@@ -37,7 +37,7 @@
     #[must_use]
     pub const fn new(options: Options) -> Self {
         Self {
-            drain: Drain::new(options.drain),
+            drain: Drain::new(options.drain_rate),
             options,
             flows: Table::new(),
             waiting: 0,
@@ -83,7 +83,7 @@
     /// # Errors
     ///
     /// Refuses a request that would wait too long or finds no place.
-    pub fn arrive(
+    pub fn enqueue(
         &mut self,
         request: &Request<'_>,
         room: u32,
@@ -95,14 +95,14 @@
             return Err(self.refusal(Reason::Stopping, Duration::ZERO, rng));
         }
         let options = &self.options;
-        let make = || Flow::new(options.drain);
+        let make = || Flow::new(options.drain_rate);
         let flow = self
             .flows
             .get_or_insert_with(request.organisation.clone(), make);
         flow.share = f64::from(request.share.max(1));
         let ahead = flow.lanes[request.priority.index()].queue.len();
         let wait = self.wait(request.organisation, request.priority, ahead, room);
-        if ahead >= self.options.lane {
+        if ahead >= self.options.lane_max {
             return Err(self.refusal(Reason::QueueFull, wait, rng));
         }
         let waiting = Waiting {
@@ -115,7 +115,7 @@
         if !late.is_zero() {
             return Err(self.refusal(Reason::Late { late }, late, rng));
         }
-        if self.waiting >= self.options.total {
+        if self.waiting >= self.options.queue_max {
             let evicted = self.evict(request.organisation, wait, rng)?;
             commands.push(evicted);
         }
--- a/crates/admit/src/options.rs
+++ b/crates/admit/src/options.rs
@@ -6,12 +6,12 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
     /// The most requests that wait in one rank of one organisation.
-    pub lane: usize,
+    pub lane_max: usize,
     /// The most requests that wait in all.
-    pub total: usize,
+    pub queue_max: usize,
     /// The requests a second that the queue is expected to drain, until that
     /// has been measured.
-    pub drain: f64,
+    pub drain_rate: f64,
     /// The time over which the drain is measured.
     pub window: Duration,
     /// The shortest time after which a refused caller is asked to return.
@@ -23,9 +23,9 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            lane: 64,
-            total: 512,
-            drain: 20.0,
+            lane_max: 64,
+            queue_max: 512,
+            drain_rate: 20.0,
             window: Duration::from_secs(2),
             retry_min: Duration::from_millis(500),
             retry_max: Duration::from_secs(30),
--- a/crates/admit/src/quota/borrower.rs
+++ b/crates/admit/src/quota/borrower.rs
@@ -84,7 +84,7 @@
         now: Instant,
     ) -> Option<(Process, Ask)> {
         let purse = self.purses.get_mut(key)?;
-        purse.expire(now, options.keep);
+        purse.expire(now, options.retention);
         purse.set_homes(plan.newest(), || order(me, plan.homes(key, options)));
         let due = purse.next_ask(options, now)?;
         self.last = self.last.next();
--- a/crates/admit/src/quota/exchange.rs
+++ b/crates/admit/src/quota/exchange.rs
@@ -78,7 +78,7 @@
     /// Returns the entries that lend a cap. Callers of its organisation that
     /// are sent to them cause the fewest messages.
     #[must_use]
-    pub fn homes(&self, key: &Key) -> Vec<&Process> {
+    pub fn lenders(&self, key: &Key) -> Vec<&Process> {
         self.plan.homes(key, &self.options)
     }
 
--- a/crates/admit/src/quota/homes.rs
+++ b/crates/admit/src/quota/homes.rs
@@ -21,8 +21,8 @@
     ranked.sort_unstable();
     ranked.dedup();
     let count = cap
-        .div_ceil(options.home_size)
-        .max(options.homes_min)
+        .div_ceil(options.lender_size)
+        .max(options.lenders_min)
         .min(cap);
     ranked.truncate(usize::try_from(count).unwrap_or(usize::MAX));
     ranked.into_iter().map(|(_, entry)| entry).collect()
--- a/crates/admit/src/quota/purse.rs
+++ b/crates/admit/src/quota/purse.rs
@@ -165,7 +165,7 @@
 
     /// Returns the ask for what is short, at the home asked longest ago.
     fn addition(&mut self, short: u32, options: &Options, now: Instant) -> Option<Due> {
-        if short == 0 || self.tries >= options.tries {
+        if short == 0 || self.tries >= options.attempts {
             return None;
         }
         let asked = |home: &Process| self.holds.get(home).and_then(|hold| hold.asked);
@@ -219,7 +219,7 @@
     /// Tells whether an answer is waited for.
     fn is_asked(&self, options: &Options, now: Instant) -> bool {
         let age = |asked: Asked| now.saturating_duration_since(asked.at);
-        let waits = |asked: Asked| asked.answer.is_none() && age(asked) < options.patience;
+        let waits = |asked: Asked| asked.answer.is_none() && age(asked) < options.answer_timeout;
         self.asked.is_some_and(waits)
     }
 
@@ -244,8 +244,8 @@
     fn is_over(&self, options: &Options, now: Instant) -> bool {
         let age = now.saturating_duration_since(self.at);
         match self.answer {
-            Some(amount) => amount >= self.wants || age >= options.keep,
-            None => age >= options.patience,
+            Some(amount) => amount >= self.wants || age >= options.retention,
+            None => age >= options.answer_timeout,
         }
     }
 }
--- a/crates/admit/tests/gate.rs
+++ b/crates/admit/tests/gate.rs
@@ -46,7 +46,7 @@
             run: Duration::from_millis(100),
         };
         let (commands, rng) = (&mut self.commands, &mut self.rng);
-        self.gate.arrive(&request, 0, commands, self.now, rng)
+        self.gate.enqueue(&request, 0, commands, self.now, rng)
     }
 
     fn poll(&mut self, room: u32) -> Vec<Command> {
@@ -144,7 +144,7 @@
 fn shares_hold_and_low_priority_does_not_starve() {
     let (a, b) = (Organisation::new("a"), Organisation::new("b"));
     let options = || Options {
-        lane: 8,
+        lane_max: 8,
         ..Options::default()
     };
     let flows = [(a.clone(), 3, Priority::High), (b, 1, Priority::Low)];
@@ -165,7 +165,7 @@
 #[test]
 fn a_full_queue_yields_to_those_below_their_share() {
     let mut bench = Bench::new(Options {
-        total: 10,
+        queue_max: 10,
         ..Options::default()
     });
     let (a, b) = (Organisation::new("a"), Organisation::new("b"));
--- a/crates/admit/tests/quota.rs
+++ b/crates/admit/tests/quota.rs
@@ -201,7 +201,7 @@
 
 fn options() -> Options {
     Options {
-        home_size: 8,
+        lender_size: 8,
         ..Options::default()
     }
 }
--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use cactusnotch_ledger::Attempt;
-use cactusnotch_throttle::{Stated, Statement};
+use cactusnotch_throttle::{Header, Headers};
 use cactusnotch_wire::{Call, Head};
 use derive_more::{Display, Error};
 use http_body_util::{BodyExt, Full};
@@ -55,7 +55,7 @@
 #[derive(Debug)]
 pub(crate) struct Reply {
     /// What it says of itself.
-    pub(crate) statement: Statement,
+    pub(crate) statement: Headers,
     /// The answer, unless it did not take the call.
     pub(crate) answer: Result<Answer, Error>,
 }
@@ -193,19 +193,19 @@
 }
 
 /// Reads what the endpoint says of itself.
-fn statement(headers: &HeaderMap, status: StatusCode) -> Statement {
+fn statement(headers: &HeaderMap, status: StatusCode) -> Headers {
     let all = |name| {
         headers
             .get_all(name)
             .iter()
             .map(|value| value.to_str().ok())
     };
-    Statement {
-        limit: Statement::read_limit(all(RATE_LIMIT)),
-        rest: if status == StatusCode::TOO_MANY_REQUESTS {
-            Statement::read_rest(all(RETRY_AFTER))
+    Headers {
+        limit: Headers::read_limit(all(RATE_LIMIT)),
+        backoff: if status == StatusCode::TOO_MANY_REQUESTS {
+            Headers::read_backoff(all(RETRY_AFTER))
         } else {
-            Stated::Nothing
+            Header::Absent
         },
         leaving: all(LEAVING).any(|value| value == Some(LEAVES)),
     }
--- a/crates/agent/src/needs.rs
+++ b/crates/agent/src/needs.rs
@@ -4,7 +4,7 @@
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::name::Endpoint;
-use cactusnotch_throttle::{Limits, Rate, Rests, Stated, Statement};
+use cactusnotch_throttle::{Backoffs, Header, Headers, Limits, Rate};
 
 /// What the endpoint says of itself, and what follows for its runs. All of them come by this
 /// agent, so that it has the endpoint's whole limit.
@@ -12,7 +12,7 @@
 pub(crate) struct Needs {
     endpoint: String,
     limits: Limits,
-    rests: Rests,
+    rests: Backoffs,
 }
 
 impl Needs {
@@ -23,7 +23,7 @@
         Self {
             endpoint: endpoint.to_owned(),
             limits,
-            rests: Rests::default(),
+            rests: Backoffs::default(),
         }
     }
 
@@ -31,28 +31,30 @@
     /// not; tells whether that changes anything.
     pub(crate) fn take(
         &mut self,
-        statement: &Statement,
+        statement: &Headers,
         ran: bool,
         sent: Instant,
         now: Instant,
     ) -> bool {
         let endpoint = self.endpoint.as_str();
-        let limit = self.limits.take(endpoint, statement, ran, sent, now);
+        let limit = self
+            .limits
+            .apply_headers(endpoint, statement, ran, sent, now);
         if let Some(change) = limit {
             let before = change.before.map(Rate::per_second);
             let limit = change.after.map(Rate::per_second);
             tracing::info!(endpoint, limit, before, "endpoint's limit");
         }
-        let rest = match statement.rest {
-            Stated::Value(rest) => self.rests.ask(endpoint, rest, now),
-            Stated::Nothing => {
-                let is_rested = self.rests.answer(endpoint, sent);
+        let rest = match statement.backoff {
+            Header::Value(rest) => self.rests.request(endpoint, rest, now),
+            Header::Absent => {
+                let is_rested = self.rests.record_answer(endpoint, sent);
                 if is_rested {
                     tracing::info!(endpoint, "endpoint's rest is over");
                 }
                 None
             }
-            Stated::Unreadable => None,
+            Header::Invalid => None,
         };
         if let Some(rest) = rest {
             tracing::info!(endpoint, ?rest, "endpoint asks for rest");
@@ -64,14 +66,14 @@
     pub(crate) fn withheld(&self, now: Instant) -> Option<Duration> {
         let limit = self.limits.withheld(&self.endpoint);
         let withheld = limit.max(self.rests.withheld(&self.endpoint))?;
-        let left = withheld.end()?.saturating_duration_since(now);
+        let left = withheld.ends_at()?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
     /// Takes that a run starts; tells whether others have to wait after it.
     pub(crate) fn start(&mut self, now: Instant) -> bool {
-        self.limits.send(&self.endpoint, now);
-        self.rests.send(&self.endpoint, now);
+        self.limits.record_send(&self.endpoint, now);
+        self.rests.record_send(&self.endpoint, now);
         self.withheld(now).is_some()
     }
 }
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -8,7 +8,7 @@
 use cactusnotch_ledger::{Attempt, Command, Event, Ledger, Link, Reply};
 use cactusnotch_link::{Role, Sender};
 use cactusnotch_telemetry::metric;
-use cactusnotch_throttle::Statement;
+use cactusnotch_throttle::Headers;
 use cactusnotch_wire::{Announcement, Body};
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
@@ -109,7 +109,7 @@
 
     /// Takes what the endpoint says of itself in its answer to a call made at `sent`, which it
     /// `ran` or not.
-    pub(crate) fn take_statement(&self, statement: &Statement, ran: bool, sent: Instant) {
+    pub(crate) fn take_statement(&self, statement: &Headers, ran: bool, sent: Instant) {
         let now = self.clock.now();
         let mut inner = self.lock();
         if inner.needs.take(statement, ran, sent, now) {
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -156,7 +156,10 @@
     let now = shared.clock.now();
     let (room, run) = {
         let router = shared.router();
-        (router.room(service, AHEAD, now), router.residence(service))
+        (
+            router.headroom(service, AHEAD, now),
+            router.residence(service),
+        )
     };
     let request = Request {
         organisation: name,
@@ -166,16 +169,16 @@
         deadline: now + values.deadline,
         run,
     };
-    let total = terms::queue_bound(&shared.settings(), service);
+    let queue_max = terms::queue_bound(&shared.settings(), service);
     let mut commands = Vec::new();
     let mut inner = shared.admission.lock();
     let gate = inner.gates.get_or_insert_with(service.clone(), || {
         Gate::new(cactusnotch_admit::Options {
-            total,
+            queue_max,
             ..cactusnotch_admit::Options::default()
         })
     });
-    let ticket = gate.arrive(&request, room, &mut commands, now, &mut rand::rng())?;
+    let ticket = gate.enqueue(&request, room, &mut commands, now, &mut rand::rng())?;
     let (sender, receiver) = oneshot::channel();
     let place = (service.clone(), ticket);
     let organisation = name.clone();
@@ -193,7 +196,7 @@
 /// Starts what may start of a service and refuses what is hopeless.
 fn poll<C: Clock>(shared: &Arc<Shared<C>>, service: &Service) {
     let now = shared.clock.now();
-    let room = shared.router().room(service, AHEAD, now);
+    let room = shared.router().headroom(service, AHEAD, now);
     let (answers, messages) = {
         let mut inner = shared.admission.lock();
         // No request starts under a revision whose caps are not known here.
--- a/crates/entry/src/agents.rs
+++ b/crates/entry/src/agents.rs
@@ -234,5 +234,5 @@
         router.set_state(endpoint, state);
         tracing::info!(%endpoint, %state, "link to the agent made");
     }
-    router.report(endpoint, &report, now);
+    router.apply_report(endpoint, &report, now);
 }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -95,7 +95,7 @@
         let commands = drive.step(event);
         drive.carry_out(commands).await;
     }
-    drive.finish_route(End::Withdrawn);
+    drive.finish_route(End::Inconclusive);
     drive.hang_up();
     metrics::counter!(metric::ENTRY_REQUESTS, "outcome" => drive.ended).increment(1);
     drive.job.span.finish(drive.ended);
@@ -171,7 +171,7 @@
             prefix: &self.job.prefix,
             tried: avoid,
             may_probe: true,
-            within: None,
+            allowed_data_centres: None,
         };
         let now = self.now();
         let mut router = self.shared.router();
@@ -254,7 +254,7 @@
             Answer::Whole { .. } => End::Answered {
                 pieces: self.pieces,
             },
-            Answer::Refused { .. } => End::Withdrawn,
+            Answer::Refused { .. } => End::Inconclusive,
         };
         self.finish_route(end);
         self.output.finish(answer).await;
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -43,7 +43,7 @@
         .into_iter()
         .map(|(endpoint, ago)| Seen {
             state: router.state(&endpoint).unwrap_or_default().to_string(),
-            requests: router.own(&endpoint).requests,
+            requests: router.own_load(&endpoint).requests,
             heard_ms: ago.map(milliseconds),
             endpoint,
         })
--- a/crates/entry/src/terms.rs
+++ b/crates/entry/src/terms.rs
@@ -11,7 +11,7 @@
 /// Returns how many requests may wait for a service.
 pub(crate) fn queue_bound(settings: &Resolved, service: &Service) -> usize {
     let Service::Model(model) = service else {
-        return cactusnotch_admit::Options::default().total;
+        return cactusnotch_admit::Options::default().queue_max;
     };
     let groups = settings.groups().values();
     let serving = groups.filter(|group| group.model == model.as_str());
--- a/crates/entry/src/tickets.rs
+++ b/crates/entry/src/tickets.rs
@@ -44,7 +44,7 @@
         prefix: &[],
         tried: &[],
         may_probe: false,
-        within: None,
+        allowed_data_centres: None,
     };
     let now = shared.clock.now();
     let chosen = shared.router().choose(&request, now, &mut rand::rng());
--- a/crates/gateway/src/alarms.rs
+++ b/crates/gateway/src/alarms.rs
@@ -15,7 +15,7 @@
 use crate::peer::{self, Datagram};
 use crate::quarantine::Crash;
 use cactusnotch_throttle::Rate;
-use cactusnotch_throttle::limits::Word;
+use cactusnotch_throttle::limits::Report;
 
 /// How often the entry that saw a crash tells all others, half a second apart: where one
 /// datagram in 30 is lost, one entry in 27,000 hears of it only from others.
@@ -34,7 +34,7 @@
     /// A request was served whole.
     Served(Content),
     /// Endpoints have these limits.
-    Limits(Vec<Word>),
+    Limits(Vec<Report>),
 }
 
 impl Alarm {
@@ -53,7 +53,7 @@
             }),
             Self::Served(content) => Datagram::Served(*content),
             Self::Limits(words) => {
-                let limit = |word: &Word| peer::Limit {
+                let limit = |word: &Report| peer::Limit {
                     endpoint: word.endpoint.clone(),
                     rate: word.limit.map(Rate::per_second),
                     ago: millis(now.saturating_duration_since(word.at)),
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -7,7 +7,7 @@
 use cactusnotch_derive::record;
 use http::{HeaderMap, Uri};
 
-use cactusnotch_throttle::Statement;
+use cactusnotch_throttle::Headers;
 
 /// What a caller's headers say, in the product's terms.
 #[record]
@@ -50,7 +50,7 @@
     /// Whether the endpoint signed it.
     pub signed: bool,
     /// What the endpoint says of itself.
-    pub statement: Statement,
+    pub statement: Headers,
 }
 
 /// A caller's question for addresses.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -24,7 +24,7 @@
 use crate::request::Call;
 use crate::route::Repeat;
 use crate::running::Running;
-use cactusnotch_throttle::Stated;
+use cactusnotch_throttle::Header;
 
 /// A sound head of an answer, with all that is needed to read the rest.
 #[derive(Debug)]
@@ -95,7 +95,7 @@
         service: service.clone(),
         address: endpoint.address,
         attempt,
-        end: End::Withdrawn,
+        end: End::Inconclusive,
         pieces: 0,
         forecast,
         sent: None,
@@ -150,7 +150,7 @@
     Forecast {
         full: choice.reason == choice::Reason::Full,
         wait: choice.wait,
-        fill: choice.fill,
+        fill: choice.utilisation,
         first: choice.predicted,
         pass: knowledge.fleet.borrow().pass(choice.endpoint.as_str(), now),
     }
@@ -245,13 +245,13 @@
         .knowledge
         .take_statement(endpoint, &verdict, sent, clock::now());
     if verdict.refused && !verdict.foreign {
-        let cause = match verdict.statement.rest {
-            Stated::Value(rest) => format!(
+        let cause = match verdict.statement.backoff {
+            Header::Value(rest) => format!(
                 "the endpoint refused with {} and asks for {} ms of rest",
                 head.status,
                 millis(rest)
             ),
-            Stated::Nothing | Stated::Unreadable => {
+            Header::Absent | Header::Invalid => {
                 format!("the endpoint refused with {}", head.status)
             }
         };
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -30,7 +30,7 @@
 use crate::configuration::{ColdStart, Service};
 use crate::endpoint::Endpoint;
 use crate::peer::Load;
-use cactusnotch_throttle::{Cold, Limits, Rests, Tolerance};
+use cactusnotch_throttle::{Backoffs, Limits, Tolerance, Warmups};
 
 /// Streams are moved away from stragglers while these are at most one in so many of
 /// the service's endpoints: the others have to have room for them.
@@ -63,8 +63,8 @@
     departed: Departed,
     farewells: Farewells,
     limits: Limits,
-    rests: Rests,
-    cold: Cold,
+    rests: Backoffs,
+    cold: Warmups,
     /// What endpoints take after their start, by service.
     cold_starts: Table<String, ColdStart>,
     /// The data centres whose endpoints get nothing.
@@ -83,8 +83,8 @@
             departed: Departed::default(),
             farewells: Farewells::default(),
             limits: Limits::new(host),
-            rests: Rests::default(),
-            cold: Cold::new(cold, host),
+            rests: Backoffs::default(),
+            cold: Warmups::new(cold, host),
             cold_starts: Table::new(),
             evacuated: Vec::new(),
         }
@@ -237,7 +237,7 @@
             prefix: &[],
             tried: wish.tried,
             may_probe: wish.may_probe,
-            within: wish.within,
+            allowed_data_centres: wish.within,
         };
         let router = self
             .routers
@@ -355,7 +355,7 @@
         let name = name::Endpoint::new(row.endpoint.id.clone());
         let takes_work = self.takes_new_work(&row.endpoint);
         if let Some(router) = self.routers.get_mut(&row.endpoint.service) {
-            router.report(&name, report, now);
+            router.apply_report(&name, report, now);
             if takes_work {
                 router.set_state(&name, report.state);
             }
--- a/crates/gateway/src/fleet/barrier.rs
+++ b/crates/gateway/src/fleet/barrier.rs
@@ -52,16 +52,16 @@
         if let Some(barred) = self.barred(endpoint, now) {
             return Err(barred);
         }
-        self.limits.send(instance, now);
-        self.cold.send(instance, now);
-        self.rests.send(instance, now);
+        self.limits.record_send(instance, now);
+        self.cold.record_send(instance, now);
+        self.rests.record_send(instance, now);
         self.withhold(&endpoint.service, &endpoint.id, instance);
         Ok(())
     }
 
     /// Returns why an endpoint gets no request now, if it gets none.
     fn barred(&self, endpoint: &Endpoint, now: Instant) -> Option<Barred> {
-        let holds = |withheld: Option<Withheld>| withheld.is_some_and(|w| w.holds(now));
+        let holds = |withheld: Option<Withheld>| withheld.is_some_and(|w| w.is_active(now));
         let instance = endpoint.instance.as_str();
         if self.is_evacuated(endpoint) {
             Some(Barred::Evacuated)
@@ -114,7 +114,7 @@
 
     /// Returns how many endpoints rest.
     pub(crate) fn resting(&self, now: Instant) -> usize {
-        self.rests.resting(now)
+        self.rests.active(now)
     }
 
     /// Returns until when an endpoint gets no request.
--- a/crates/gateway/src/fleet/options.rs
+++ b/crates/gateway/src/fleet/options.rs
@@ -46,7 +46,7 @@
     options.base_time = pass;
     options.token_time = Duration::from_secs_f64(1.0 / engine.read_rate.max(1.0));
     options.report_half_life = REPORT_HALF_LIFE;
-    options.silence = Some(SILENCE);
+    options.report_timeout = Some(SILENCE);
 }
 
 /// How fast a load report fades; agents send one four times a second.
--- a/crates/gateway/src/fleet/statements.rs
+++ b/crates/gateway/src/fleet/statements.rs
@@ -6,8 +6,8 @@
 
 use super::Fleet;
 use crate::endpoint::Endpoint;
-use cactusnotch_throttle::limits::{Change, Word};
-use cactusnotch_throttle::{Stated, Statement};
+use cactusnotch_throttle::limits::{Change, Report};
+use cactusnotch_throttle::{Header, Headers};
 
 /// What an answer has changed in what is believed of its endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -28,21 +28,23 @@
     pub(crate) fn take_statement(
         &mut self,
         endpoint: &Endpoint,
-        statement: &Statement,
+        statement: &Headers,
         ran: bool,
         sent: Instant,
         now: Instant,
     ) -> Update {
         let instance = endpoint.instance.as_str();
         let mut update = Update {
-            limit: self.limits.take(instance, statement, ran, sent, now),
+            limit: self
+                .limits
+                .apply_headers(instance, statement, ran, sent, now),
             leaves: statement.leaving && self.take_farewell(endpoint, now),
             ..Update::default()
         };
-        match statement.rest {
-            Stated::Value(rest) => update.rest = self.rests.ask(instance, rest, now),
-            Stated::Nothing => update.is_rested = self.rests.answer(instance, sent),
-            Stated::Unreadable => {}
+        match statement.backoff {
+            Header::Value(rest) => update.rest = self.rests.request(instance, rest, now),
+            Header::Absent => update.is_rested = self.rests.record_answer(instance, sent),
+            Header::Invalid => {}
         }
         if update != Update::default() {
             self.fit(instance);
@@ -51,16 +53,16 @@
     }
 
     /// Takes what another entry says of an endpoint's limit.
-    pub(crate) fn hear_word(&mut self, word: &Word, now: Instant) -> Option<Change> {
+    pub(crate) fn hear_word(&mut self, word: &Report, now: Instant) -> Option<Change> {
         let limits = &mut self.limits;
-        let change = limits.hear(&word.endpoint, word.limit, word.at, now)?;
+        let change = limits.apply_report(&word.endpoint, word.limit, word.at, now)?;
         self.fit(&word.endpoint);
         Some(change)
     }
 
     /// Returns what other entries may need to know of limits.
-    pub(crate) fn words(&self, now: Instant) -> impl Iterator<Item = Word> {
-        self.limits.words(now)
+    pub(crate) fn words(&self, now: Instant) -> impl Iterator<Item = Report> {
+        self.limits.reports(now)
     }
 
     /// Takes the hosts of all entries, which share limits.
--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -14,8 +14,8 @@
 use crate::journal::millis;
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::allotment;
-use cactusnotch_throttle::limits::{Change, Word};
-use cactusnotch_throttle::{Stated, Statement};
+use cactusnotch_throttle::limits::{Change, Report};
+use cactusnotch_throttle::{Header, Headers};
 
 /// The most words that are told at once: with some 50 bytes each, a datagram each half second
 /// that takes a quarter of what an entry may spend on control.
@@ -41,7 +41,7 @@
         let Some(change) = update.limit else {
             return;
         };
-        let word = Word {
+        let word = Report {
             endpoint: endpoint.instance.clone(),
             limit: change.after,
             at: if change.after.is_some() { now } else { sent },
@@ -53,7 +53,7 @@
     }
 
     /// Takes what another entry says of endpoints' limits.
-    pub(crate) fn hear_words(&self, words: &[Word], now: Instant) {
+    pub(crate) fn hear_words(&self, words: &[Report], now: Instant) {
         for word in words {
             let change = self.fleet.borrow_mut().hear_word(word, now);
             if let Some(change) = change {
@@ -123,7 +123,7 @@
         self.gauge(now);
     }
 
-    fn note_limit(&self, word: &Word, change: Change, source: &str, now: Instant) {
+    fn note_limit(&self, word: &Report, change: Change, source: &str, now: Instant) {
         let ago = millis(now.saturating_duration_since(word.at));
         let rate = |limit: Option<Rate>| limit.map(Rate::per_second);
         let (before, limit) = (rate(change.before), rate(change.after));
@@ -141,9 +141,9 @@
     }
 
     /// Writes once for each endpoint what it says that can't be read.
-    fn complain(&self, endpoint: &Endpoint, statement: &Statement) {
-        let limit = (statement.limit == Stated::Unreadable).then_some("limit");
-        let rest = (statement.rest == Stated::Unreadable).then_some("rest");
+    fn complain(&self, endpoint: &Endpoint, statement: &Headers) {
+        let limit = (statement.limit == Header::Invalid).then_some("limit");
+        let rest = (statement.backoff == Header::Invalid).then_some("rest");
         for what in limit.into_iter().chain(rest) {
             if self
                 .complaints
@@ -170,12 +170,12 @@
 }
 
 /// Writes what an answer has changed of an endpoint's rest and leaving.
-fn note(endpoint: &Endpoint, update: &Update, statement: &Statement) {
+fn note(endpoint: &Endpoint, update: &Update, statement: &Headers) {
     let endpoint = endpoint.id.as_str();
     if let Some(rest) = update.rest {
-        let asked_ms = match statement.rest {
-            Stated::Value(asked) => Some(millis(asked)),
-            Stated::Nothing | Stated::Unreadable => None,
+        let asked_ms = match statement.backoff {
+            Header::Value(asked) => Some(millis(asked)),
+            Header::Absent | Header::Invalid => None,
         };
         tracing::info!(
             endpoint,
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -11,7 +11,7 @@
 use crate::endpoint::Born;
 use crate::{Endpoint, Pace};
 use cactusnotch_throttle::Rate;
-use cactusnotch_throttle::limits::Word;
+use cactusnotch_throttle::limits::Report;
 
 /// What an agent measured of its own endpoint.
 #[message]
@@ -113,12 +113,12 @@
 
 impl Limit {
     /// Returns what it says, or `None` if its rate is no rate.
-    pub(crate) fn word(&self, now: Instant) -> Option<Word> {
+    pub(crate) fn word(&self, now: Instant) -> Option<Report> {
         let limit = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
             None => None,
         };
-        Some(Word {
+        Some(Report {
             endpoint: self.endpoint.clone(),
             limit,
             at: now.checked_sub(Duration::from_millis(self.ago.into()))?,
--- a/crates/retry/src/budget.rs
+++ b/crates/retry/src/budget.rs
@@ -24,12 +24,12 @@
     }
 
     /// Counts a first attempt.
-    pub const fn earn(&mut self) {
+    pub const fn deposit(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
     /// Pays for a repeated attempt; returns whether there was enough.
-    pub const fn spend(&mut self) -> bool {
+    pub const fn withdraw(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
             self.tokens -= 1.0;
--- a/crates/retry/src/hedge.rs
+++ b/crates/retry/src/hedge.rs
@@ -11,7 +11,7 @@
 /// cancelled.
 #[derive(Debug, Clone)]
 pub struct Hedge {
-    least: Duration,
+    min_time_left: Duration,
     budget: Budget,
 }
 
@@ -26,7 +26,7 @@
     pub started: Instant,
     /// The first-token time that few attempts exceed, such as the 95th
     /// percentile of those measured.
-    pub usual: Duration,
+    pub latency_bound: Duration,
     /// When the request has to be complete.
     pub deadline: Deadline,
 }
@@ -36,14 +36,14 @@
     #[must_use]
     pub const fn new(options: &Options) -> Self {
         Self {
-            least: options.least,
+            min_time_left: options.min_time_left,
             budget: Budget::new(options.hedge_ratio, options.hedge_burst),
         }
     }
 
     /// Counts the first attempt of a request.
-    pub const fn begin(&mut self) {
-        self.budget.earn();
+    pub const fn record_request(&mut self) {
+        self.budget.deposit();
     }
 
     /// Decides whether a request gets a second attempt now, and pays for it if
@@ -52,8 +52,8 @@
         let waited = now.saturating_duration_since(pending.started);
         pending.idempotent
             && !pending.hedged
-            && waited >= pending.usual
-            && pending.deadline.left(now) >= pending.usual.max(self.least)
-            && self.budget.spend()
+            && waited >= pending.latency_bound
+            && pending.deadline.left(now) >= pending.latency_bound.max(self.min_time_left)
+            && self.budget.withdraw()
     }
 }
--- a/crates/retry/src/options.rs
+++ b/crates/retry/src/options.rs
@@ -16,7 +16,7 @@
     /// The delays between attempts.
     pub backoff: Backoff,
     /// The shortest time left in which another attempt makes sense.
-    pub least: Duration,
+    pub min_time_left: Duration,
     /// Hedged attempts for each first one, over all requests.
     pub hedge_ratio: f64,
     /// Hedged attempts that may come together.
@@ -30,7 +30,7 @@
             burst: 10.0,
             attempts: 3,
             backoff: Backoff::default(),
-            least: Duration::from_millis(20),
+            min_time_left: Duration::from_millis(20),
             hedge_ratio: 0.02,
             hedge_burst: 2.0,
         }
--- a/crates/retry/src/retry.rs
+++ b/crates/retry/src/retry.rs
@@ -24,7 +24,7 @@
     /// Whether the request may run more than once.
     pub idempotent: bool,
     /// Whether a piece of the answer has reached the caller.
-    pub answered: bool,
+    pub response_started: bool,
     /// The attempts so far, this one included.
     pub attempts: u32,
     /// When the request has to be complete.
@@ -42,8 +42,8 @@
     }
 
     /// Counts the first attempt of a request.
-    pub const fn begin(&mut self) {
-        self.budget.earn();
+    pub const fn record_request(&mut self) {
+        self.budget.deposit();
     }
 
     /// Decides whether a request whose attempt has failed is tried again, and
@@ -54,7 +54,7 @@
     /// it goes to another endpoint.
     pub fn decide(&mut self, failure: &Failure, now: Instant, rng: &mut impl Rng) -> Decision {
         let ran = failure.outcome == Outcome::Unknown;
-        if failure.answered || (ran && !failure.idempotent) {
+        if failure.response_started || (ran && !failure.idempotent) {
             return Decision::GiveUp(Reason::Unsafe);
         }
         if failure.attempts >= self.options.attempts {
@@ -64,10 +64,10 @@
             0 | 1 if !ran => Duration::ZERO,
             attempts => self.options.backoff.delay(attempts, rng),
         };
-        if failure.deadline.left(now) < delay + self.options.least {
+        if failure.deadline.left(now) < delay + self.options.min_time_left {
             return Decision::GiveUp(Reason::Deadline);
         }
-        if !self.budget.spend() {
+        if !self.budget.withdraw() {
             return Decision::GiveUp(Reason::Budget);
         }
         Decision::Again(delay)
--- a/crates/retry/tests/retry.rs
+++ b/crates/retry/tests/retry.rs
@@ -20,7 +20,7 @@
     Failure {
         outcome: Outcome::Unknown,
         idempotent: true,
-        answered: false,
+        response_started: false,
         attempts: 1,
         deadline: Deadline::received(Remaining::new(SECOND * 9), SECOND * 60, now),
     }
@@ -49,7 +49,7 @@
         let now = clock::now();
         let mut again = 0_u32;
         for (_, ran) in (0..requests).zip(outcomes.iter().cycle()) {
-            retry.begin();
+            retry.record_request();
             let outcome = if *ran { Outcome::Unknown } else { Outcome::NotRun };
             let mut failure = Failure { outcome, ..failure(now) };
             while let Decision::Again(_) = retry.decide(&failure, now, rng) {
@@ -107,7 +107,7 @@
         (unsafe_to_repeat, give_up(Reason::Unsafe)),
         (
             Failure {
-                answered: true,
+                response_started: true,
                 ..base
             },
             give_up(Reason::Unsafe),
@@ -159,7 +159,7 @@
         idempotent: true,
         hedged: false,
         started,
-        usual: SECOND / 2,
+        latency_bound: SECOND / 2,
         deadline: failure(started).deadline,
     };
     let now = started + SECOND;
@@ -180,7 +180,7 @@
     ));
     let mut hedged = 0;
     for _ in 0..1_000 {
-        hedge.begin();
+        hedge.record_request();
         hedged += u32::from(hedge.decide(&pending, now));
     }
     assert!((20..=22).contains(&hedged), "{hedged} of 1000");
--- a/crates/route/examples/policies/policy.rs
+++ b/crates/route/examples/policies/policy.rs
@@ -191,7 +191,7 @@
             prefix: prefix.as_slice(),
             tried: &tried,
             may_probe: tried.is_empty(),
-            within: None,
+            allowed_data_centres: None,
         };
         let now = self.start + now;
         let router = &mut self.routers[job.entry];
@@ -207,7 +207,7 @@
     }
 
     fn report(&mut self, entry: usize, endpoint: usize, report: &Report, now: Duration) {
-        self.routers[entry].report(&self.names[endpoint], report, self.start + now);
+        self.routers[entry].apply_report(&self.names[endpoint], report, self.start + now);
     }
 
     fn entries(&self, endpoint: usize) -> &[usize] {
@@ -222,7 +222,7 @@
 
     fn finish(&mut self, id: usize, pieces: Option<u32>, now: Duration) {
         if let Some((entry, attempt)) = self.attempts[id].take() {
-            let end = pieces.map_or(End::Withdrawn, |pieces| End::Answered { pieces });
+            let end = pieces.map_or(End::Inconclusive, |pieces| End::Answered { pieces });
             self.routers[entry].finish(&attempt, end, self.start + now);
         }
     }
--- a/crates/route/examples/policies/subsets.rs
+++ b/crates/route/examples/policies/subsets.rs
@@ -169,7 +169,7 @@
             sharers: 1,
             age: Duration::ZERO,
         };
-        router.report(&member.name, &report, now);
+        router.apply_report(&member.name, &report, now);
     }
     let rng = &mut StdRng::seed_from_u64(SEED);
     let request = Request {
@@ -178,7 +178,7 @@
         prefix,
         tried: &[],
         may_probe: true,
-        within: None,
+        allowed_data_centres: None,
     };
     let start = clock::now();
     for round in 0..ROUNDS {
--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -64,5 +64,5 @@
     Failed,
     /// The endpoint refused in good order, or the caller went away, so that
     /// nothing is learnt of its health.
-    Withdrawn,
+    Inconclusive,
 }
--- a/crates/route/src/choice.rs
+++ b/crates/route/src/choice.rs
@@ -19,7 +19,7 @@
     /// The part of `predicted` that is spent waiting for a slot.
     pub wait: Duration,
     /// The requests that are believed there, in hundredths of its slots.
-    pub fill: u32,
+    pub utilisation: u32,
     /// How long a request of the service holds its slot.
     pub residence: Duration,
     /// The time to the first token that an endpoint of usual speed would take.
--- a/crates/route/src/options.rs
+++ b/crates/route/src/options.rs
@@ -19,7 +19,7 @@
     pub report_half_life: Duration,
     /// The time without a report after which an endpoint that has reported before is
     /// left to itself while others take work, if there is one.
-    pub silence: Option<Duration>,
+    pub report_timeout: Option<Duration>,
     /// The time after which half of a measured slowness is forgotten.
     pub slowness_half_life: Duration,
     /// How many times as loaded as the mean a preferred endpoint may be.
@@ -59,7 +59,7 @@
             choices: 4,
             full: 1.0,
             report_half_life: Duration::from_secs(2),
-            silence: None,
+            report_timeout: None,
             slowness_half_life: Duration::from_secs(10),
             affinity_bound: 1.25,
             affinity_floor: 0.5,
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -19,5 +19,5 @@
     /// be idempotent for that.
     pub may_probe: bool,
     /// The data centres whose endpoints may get it, `None` for all.
-    pub within: Option<&'a [DataCentre]>,
+    pub allowed_data_centres: Option<&'a [DataCentre]>,
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -125,7 +125,7 @@
 
     /// Returns this entry's own load at an endpoint.
     #[must_use]
-    pub fn own(&self, endpoint: &Endpoint) -> Load {
+    pub fn own_load(&self, endpoint: &Endpoint) -> Load {
         self.position(endpoint)
             .map_or_else(Load::default, |at| self.rows[at].own)
     }
@@ -135,7 +135,7 @@
     /// slots. It is never less than an equal part among the entries; one that is withheld
     /// has none.
     #[must_use]
-    pub fn room(&self, service: &Service, ahead: f64, now: Instant) -> u32 {
+    pub fn headroom(&self, service: &Service, ahead: f64, now: Instant) -> u32 {
         let Some(pool) = self.pools.get(service) else {
             return 0;
         };
@@ -169,7 +169,7 @@
 
     /// Takes a load report. One that says the endpoint is leaving withdraws
     /// it; only [`Router::set_state`] makes it serve again.
-    pub fn report(&mut self, endpoint: &Endpoint, report: &Report, now: Instant) {
+    pub fn apply_report(&mut self, endpoint: &Endpoint, report: &Report, now: Instant) {
         if let Some(at) = self.position(endpoint) {
             self.rows[at].set_report(report, now);
         }
@@ -196,7 +196,7 @@
             reason: pick.reason,
             predicted: pick.predicted,
             wait: pick.wait,
-            fill: whole(pick.fill),
+            utilisation: whole(pick.utilisation),
             residence: Duration::from_secs_f64(residence),
             usual: pick.usual,
         })
@@ -325,8 +325,8 @@
     match end {
         End::Answered { .. } => row.health.succeed(),
         End::Failed => row.health.fail(attempt.probe, now, options),
-        End::Withdrawn if attempt.probe => row.health.abandon_probe(),
-        End::Withdrawn => {}
+        End::Inconclusive if attempt.probe => row.health.abandon_probe(),
+        End::Inconclusive => {}
     }
 }
 
--- a/crates/route/src/row.rs
+++ b/crates/route/src/row.rs
@@ -144,14 +144,14 @@
     /// Tells whether the endpoint is left to itself while others take work: it is to be
     /// avoided, or has fallen silent.
     pub(crate) fn is_avoided(&self, options: &Options, now: Instant) -> bool {
-        let silent = options.silence.zip(self.reported);
+        let silent = options.report_timeout.zip(self.reported);
         let silent = silent.is_some_and(|(most, at)| now.saturating_duration_since(at) > most);
         silent || self.avoided.is_some_and(|until| until > now)
     }
 
     /// Returns until when the endpoint gets no request, if it is withheld still.
     pub(crate) fn withheld(&self, now: Instant) -> Option<Withheld> {
-        self.withheld.filter(|withheld| withheld.holds(now))
+        self.withheld.filter(|withheld| withheld.is_active(now))
     }
 
     /// Returns how many more requests this entry may send, if the endpoint may
--- a/crates/route/src/selection.rs
+++ b/crates/route/src/selection.rs
@@ -54,7 +54,7 @@
     pub(crate) predicted: Duration,
     pub(crate) wait: Duration,
     /// The requests that are believed there, in hundredths of its slots.
-    pub(crate) fill: f64,
+    pub(crate) utilisation: f64,
     pub(crate) usual: Duration,
 }
 
@@ -93,7 +93,7 @@
             let row = &self.rows[at];
             let is_within =
                 |data_centres: &[DataCentre]| data_centres.contains(&row.member.data_centre);
-            if !request.within.is_none_or(is_within) {
+            if !request.allowed_data_centres.is_none_or(is_within) {
                 continue;
             }
             match row.state {
@@ -233,7 +233,7 @@
         let scale = |time: f64| Duration::try_from_secs_f64(time * self.reference.first);
         Pick {
             row: candidate.row,
-            fill: 100.0 * candidate.requests / candidate.slots,
+            utilisation: 100.0 * candidate.requests / candidate.slots,
             reason,
             predicted: scale(predicted).unwrap_or(Duration::MAX),
             wait: scale(wait).unwrap_or(Duration::MAX),
@@ -257,7 +257,7 @@
 impl Tally {
     fn withhold(&mut self, withheld: Withheld) {
         self.withheld += 1;
-        self.first = match (self.first, withheld.end()) {
+        self.first = match (self.first, withheld.ends_at()) {
             (Some(first), Some(end)) => Some(first.min(end)),
             (first, end) => first.or(end),
         };
--- a/crates/route/src/withheld.rs
+++ b/crates/route/src/withheld.rs
@@ -15,7 +15,7 @@
 impl Withheld {
     /// Tells whether it still holds.
     #[must_use]
-    pub fn holds(self, now: Instant) -> bool {
+    pub fn is_active(self, now: Instant) -> bool {
         match self {
             Self::Until(until) => now < until,
             Self::Indefinitely => true,
@@ -24,7 +24,7 @@
 
     /// Returns when it ends, if that is known.
     #[must_use]
-    pub const fn end(self) -> Option<Instant> {
+    pub const fn ends_at(self) -> Option<Instant> {
         match self {
             Self::Until(until) => Some(until),
             Self::Indefinitely => None,
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -57,7 +57,7 @@
         prefix,
         tried,
         may_probe: true,
-        within: None,
+        allowed_data_centres: None,
     }
 }
 
@@ -170,7 +170,7 @@
     let silence = Duration::from_millis(800);
     let mut router = router(&home(2));
     router.set_options(Options {
-        silence: Some(silence),
+        report_timeout: Some(silence),
         ..Options::default()
     });
     let (silent, other) = (Endpoint::new("s00"), Endpoint::new("s01"));
@@ -188,8 +188,8 @@
     let mut rng = StdRng::seed_from_u64(1);
     let service = service();
     let later = now + silence + Duration::from_millis(1);
-    router.report(&silent, &report(0), now);
-    router.report(&other, &report(6), later);
+    router.apply_report(&silent, &report(0), now);
+    router.apply_report(&other, &report(6), later);
     let mut choose = |tried: &[Endpoint], now| {
         let choice = router.choose(&request(&service, &[], tried), now, &mut rng);
         choice.expect("both take work").endpoint
@@ -232,7 +232,7 @@
             if choice.reason == Reason::Affinity {
                 let mean = options.affinity_bound * all / 12.0;
                 let floor = options.affinity_floor * f64::from(SLOTS);
-                let held = f64::from(router.own(&choice.endpoint).requests);
+                let held = f64::from(router.own_load(&choice.endpoint).requests);
                 prop_assert!(held <= mean.max(floor).ceil(), "{held} of {all}");
             }
         }
@@ -256,8 +256,8 @@
                 0 => router.set_state(&member.name, State::Unreachable),
                 1 => {
                     let leaving = Report { state: State::Leaving, ..report(0, Duration::ZERO) };
-                    router.report(&member.name, &leaving, now);
-                    router.report(&member.name, &report(0, Duration::ZERO), now);
+                    router.apply_report(&member.name, &leaving, now);
+                    router.apply_report(&member.name, &report(0, Duration::ZERO), now);
                 }
                 2 => tried.push(member.name.clone()),
                 _ => continue,
@@ -292,7 +292,7 @@
         let again = router.choose(&request, now, rng).expect("serving");
         assert_eq!(again.endpoint, first.endpoint);
     }
-    router.report(&first.endpoint, &report(SLOTS, Duration::ZERO), now);
+    router.apply_report(&first.endpoint, &report(SLOTS, Duration::ZERO), now);
     let next = router.choose(&request, now, rng).expect("serving");
     assert_ne!(next.endpoint, first.endpoint);
 }
@@ -311,12 +311,12 @@
         router.start(&choice, &request, now);
         reasons.push((choice.endpoint.as_str().to_owned(), choice.reason));
     }
-    assert_eq!(router.room(&service, 1.0, now), 0, "all is full");
+    assert_eq!(router.headroom(&service, 1.0, now), 0, "all is full");
     router.set_state(&members[0].name, State::Leaving);
-    router.report(&members[1].name, &report(0, Duration::ZERO), now);
+    router.apply_report(&members[1].name, &report(0, Duration::ZERO), now);
     router.set_members(&[members.as_slice(), &[member("s3", "a")]].concat());
     router.set_state(&Endpoint::new("s3"), State::Serving);
-    assert_eq!(router.room(&service, 1.0, now), SLOTS, "s3 is free");
+    assert_eq!(router.headroom(&service, 1.0, now), SLOTS, "s3 is free");
     reasons.dedup();
     reasons.pop();
     let expected = [
@@ -338,8 +338,8 @@
         tokens: 0,
         ..request(&service, &[], &[])
     };
-    router.report(&members[0].name, &report(6, Duration::ZERO), now);
-    router.report(&members[1].name, &report(0, Duration::ZERO), now);
+    router.apply_report(&members[0].name, &report(6, Duration::ZERO), now);
+    router.apply_report(&members[1].name, &report(0, Duration::ZERO), now);
     let mut counts = [0, 0];
     for _ in 0..4 {
         let choice = router.choose(&request, now, rng).expect("serving");
@@ -350,9 +350,9 @@
     let later = now + Duration::from_secs(30);
     let choice = router.choose(&request, later, rng).expect("serving");
     assert_eq!(choice.endpoint, members[0].name, "only own work is known");
-    router.report(&members[0].name, &report(0, Duration::ZERO), later);
+    router.apply_report(&members[0].name, &report(0, Duration::ZERO), later);
     let older = report(8, Duration::from_millis(1));
-    router.report(&members[0].name, &older, later);
+    router.apply_report(&members[0].name, &older, later);
     let choice = router.choose(&request, later, rng).expect("serving");
     assert_eq!(
         choice.endpoint, members[0].name,
@@ -497,22 +497,22 @@
         ..report(requests, Duration::ZERO)
     };
     let name = &members[0].name;
-    router.report(name, &of_four(SLOTS), now);
+    router.apply_report(name, &of_four(SLOTS), now);
     assert_eq!(
-        router.room(&service, 1.0, now),
+        router.headroom(&service, 1.0, now),
         SLOTS / 4,
         "others hold all"
     );
     let choice = router.choose(&request, now, rng).expect("serving");
     router.start(&choice, &request, now);
     assert_eq!(
-        router.room(&service, 1.0, now),
+        router.headroom(&service, 1.0, now),
         SLOTS / 4 - 1,
         "own work counts"
     );
-    router.report(name, &of_four(2), now);
+    router.apply_report(name, &of_four(2), now);
     assert_eq!(
-        router.room(&service, 1.0, now),
+        router.headroom(&service, 1.0, now),
         SLOTS - 3,
         "others left more"
     );
--- a/crates/throttle/src/allotment.rs
+++ b/crates/throttle/src/allotment.rs
@@ -31,7 +31,7 @@
     pub interval: Duration,
     /// The entry's place in the order in which entries begin, as a time: their requests are
     /// evenly spread with it.
-    pub turn: Duration,
+    pub offset: Duration,
 }
 
 impl Allotment {
@@ -39,12 +39,12 @@
     /// if it is none of them. The endpoint bears what endpoints do that name a limit.
     #[must_use]
     pub fn of<S: AsRef<str>>(me: &str, entries: &[S], endpoint: &str, rate: Rate) -> Option<Self> {
-        Self::within(Tolerance::LIMITED, me, entries, endpoint, rate)
+        Self::with_tolerance(Tolerance::LIMITED, me, entries, endpoint, rate)
     }
 
     /// Returns the same at an endpoint that bears what `tolerance` says.
     #[must_use]
-    pub fn within<S: AsRef<str>>(
+    pub fn with_tolerance<S: AsRef<str>>(
         tolerance: Tolerance,
         me: &str,
         entries: &[S],
@@ -61,7 +61,7 @@
         Some(Self {
             is_holder,
             interval: spacing * number(if is_holder { holders } else { entries.len() }),
-            turn: spacing * number(rank + 1),
+            offset: spacing * number(rank + 1),
         })
     }
 }
@@ -80,7 +80,7 @@
 /// Returns how many of `entries` share the requests that an endpoint takes: as many as stay
 /// within what it bears, with [`SPARE`] more, however their requests coincide.
 fn holders(tolerance: Tolerance, entries: usize, rate: Rate) -> usize {
-    let borne = tolerance.borne(rate);
+    let borne = tolerance.max_requests(rate);
     let fits = |&holders: &usize, spare: usize| {
         f64::from(number(holders + spare)) * most(tolerance, holders, rate) <= borne
     };
--- a/crates/throttle/src/rests.rs
+++ b/crates/throttle/src/backoffs.rs
@@ -12,7 +12,7 @@
 
 /// The longest rest that is granted: a longer one is a mistake rather than a wish, and an
 /// endpoint that means it asks again.
-pub const REST_MAX: Duration = Duration::from_mins(10);
+pub const BACKOFF_MAX: Duration = Duration::from_mins(10);
 /// How long the first request after a rest is waited for until another one is sent. Streams
 /// on time begin within half of that.
 const TRIAL_TIME: Duration = Duration::from_secs(1);
@@ -36,15 +36,15 @@
 
 /// The endpoints that have asked this entry for rest, by their names.
 #[derive(Debug, Default)]
-pub struct Rests {
+pub struct Backoffs {
     rows: Table<String, Rest>,
 }
 
-impl Rests {
+impl Backoffs {
     /// Takes that an endpoint asks for `rest`; returns how long it is left alone from now on if
     /// that is longer than before. A shorter rest takes nothing from a longer one.
-    pub fn ask(&mut self, endpoint: &str, rest: Duration, now: Instant) -> Option<Duration> {
-        let rest = rest.min(REST_MAX);
+    pub fn request(&mut self, endpoint: &str, rest: Duration, now: Instant) -> Option<Duration> {
+        let rest = rest.min(BACKOFF_MAX);
         let until = now + rest;
         let known = self.rows.get(endpoint);
         if rest.is_zero() || known.is_some_and(|known| known.until >= until) {
@@ -57,7 +57,7 @@
 
     /// Takes that an endpoint has answered a request that was sent at `sent` and asks for no
     /// rest; returns whether its rest is over with that.
-    pub fn answer(&mut self, endpoint: &str, sent: Instant) -> bool {
+    pub fn record_answer(&mut self, endpoint: &str, sent: Instant) -> bool {
         let is_over = self.rows.get(endpoint).is_some_and(|row| row.until <= sent);
         if is_over {
             self.rows.remove(endpoint);
@@ -75,7 +75,7 @@
 
     /// Takes that a request is sent to an endpoint, which is the only one for a while if it is
     /// the first after a rest.
-    pub fn send(&mut self, endpoint: &str, now: Instant) {
+    pub fn record_send(&mut self, endpoint: &str, now: Instant) {
         if let Some(row) = self.rows.get_mut(endpoint) {
             row.trial = Some(now);
         }
@@ -83,7 +83,7 @@
 
     /// Returns how many endpoints rest.
     #[must_use]
-    pub fn resting(&self, now: Instant) -> usize {
+    pub fn active(&self, now: Instant) -> usize {
         self.rows.values().filter(|row| row.until > now).count()
     }
 
--- a/crates/throttle/src/limit.rs
+++ b/crates/throttle/src/limit.rs
@@ -10,7 +10,7 @@
 
 /// How long a word on a limit counts without another one. Holders hear the endpoint's answers
 /// and pass them on; an entry that has been told nothing for so long asks the endpoint itself.
-pub const WORD_TIME: Duration = Duration::from_mins(1);
+pub const REPORT_LIFETIME: Duration = Duration::from_mins(1);
 
 /// The rate limit of one endpoint, as an entry believes it.
 #[derive(Debug, Clone)]
@@ -59,7 +59,7 @@
 
     /// Takes a word that is newer than the known one; of two at one moment the one on a limit
     /// counts.
-    pub(crate) fn hear(&mut self, rate: Option<Rate>, at: Instant) -> bool {
+    pub(crate) fn apply_report(&mut self, rate: Option<Rate>, at: Instant) -> bool {
         let is_newer = at > self.at || (at == self.at && rate.is_some());
         if is_newer {
             (self.rate, self.at) = (rate, at);
@@ -87,12 +87,12 @@
         let Allotment {
             is_holder,
             interval,
-            turn,
+            offset,
         } = allotment;
         let first = if is_holder {
-            self.since + turn
+            self.since + offset
         } else {
-            self.at + WORD_TIME + turn
+            self.at + REPORT_LIFETIME + offset
         };
         Some(Withheld::Until(match self.last {
             Some(last) if is_holder => last + interval,
@@ -102,7 +102,7 @@
     }
 
     /// Takes that a request is sent to the endpoint.
-    pub(crate) const fn send(&mut self, now: Instant) {
+    pub(crate) const fn record_send(&mut self, now: Instant) {
         self.last = Some(now);
     }
 }
--- a/crates/throttle/src/limits.rs
+++ b/crates/throttle/src/limits.rs
@@ -6,8 +6,8 @@
 use cactusnotch_base::clock::Instant;
 use cactusnotch_route::Withheld;
 
-use crate::limit::{Limit, WORD_TIME};
-use crate::{Allotment, Rate, Stated, Statement, Tolerance};
+use crate::limit::{Limit, REPORT_LIFETIME};
+use crate::{Allotment, Header, Headers, Rate, Tolerance};
 
 /// How long a limit is believed of an endpoint that gets no request.
 const FORGET_TIME: Duration = Duration::from_mins(10);
@@ -47,7 +47,7 @@
 
 /// What one entry says to others of an endpoint's limit.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Word {
+pub struct Report {
     /// The endpoint.
     pub endpoint: String,
     /// The limit, if there is one.
@@ -60,12 +60,12 @@
     /// Creates the table of the entry on `host`.
     #[must_use]
     pub fn new(host: &str) -> Self {
-        Self::within(Tolerance::LIMITED, host)
+        Self::with_tolerance(Tolerance::LIMITED, host)
     }
 
     /// Creates the table of the entry on `host` for endpoints that bear what `tolerance` says.
     #[must_use]
-    pub fn within(tolerance: Tolerance, host: &str) -> Self {
+    pub fn with_tolerance(tolerance: Tolerance, host: &str) -> Self {
         Self {
             host: host.to_owned(),
             tolerance,
@@ -85,7 +85,7 @@
         self.entries = entries;
         let (tolerance, host, entries) = (self.tolerance, &self.host, &self.entries);
         for (endpoint, row) in self.rows.iter_mut() {
-            let part = |rate| Allotment::within(tolerance, host, entries, endpoint, rate);
+            let part = |rate| Allotment::with_tolerance(tolerance, host, entries, endpoint, rate);
             row.set_allotment(row.rate().and_then(part), now);
         }
         true
@@ -95,37 +95,37 @@
     /// is over only if the endpoint says nothing of it in an answer to what it `ran`, since it
     /// may turn requests away in more than one way, and only if that was sent after the limit
     /// had been named last.
-    pub fn take(
+    pub fn apply_headers(
         &mut self,
         endpoint: &str,
-        statement: &Statement,
+        headers: &Headers,
         ran: bool,
         sent: Instant,
         now: Instant,
     ) -> Option<Change> {
-        match statement.limit {
-            Stated::Value(rate) => self.hear(endpoint, Some(rate), now, now),
-            Stated::Nothing if ran && self.rows.contains(endpoint) => {
-                self.hear(endpoint, None, sent, now)
+        match headers.limit {
+            Header::Value(rate) => self.apply_report(endpoint, Some(rate), now, now),
+            Header::Absent if ran && self.rows.contains(endpoint) => {
+                self.apply_report(endpoint, None, sent, now)
             }
-            Stated::Nothing | Stated::Unreadable => None,
+            Header::Absent | Header::Invalid => None,
         }
     }
 
     /// Takes that the endpoint was heard to have this limit, or none, at the moment `at`.
-    pub fn hear(
+    pub fn apply_report(
         &mut self,
         endpoint: &str,
         limit: Option<Rate>,
         at: Instant,
         now: Instant,
     ) -> Option<Change> {
-        if now.saturating_duration_since(at) > WORD_TIME {
+        if now.saturating_duration_since(at) > REPORT_LIFETIME {
             return None;
         }
         let before = self.rate(endpoint);
         if let Some(row) = self.rows.get_mut(endpoint) {
-            if !row.hear(limit, at) {
+            if !row.apply_report(limit, at) {
                 return None;
             }
         } else {
@@ -137,7 +137,7 @@
             return None;
         }
         let (tolerance, host, entries) = (self.tolerance, &self.host, &self.entries);
-        let part = |rate| Allotment::within(tolerance, host, entries, endpoint, rate);
+        let part = |rate| Allotment::with_tolerance(tolerance, host, entries, endpoint, rate);
         let allotment = limit.and_then(part);
         if let Some(row) = self.rows.get_mut(endpoint) {
             row.set_allotment(allotment, at);
@@ -174,17 +174,17 @@
     }
 
     /// Takes that a request is sent to an endpoint.
-    pub fn send(&mut self, endpoint: &str, now: Instant) {
+    pub fn record_send(&mut self, endpoint: &str, now: Instant) {
         if let Some(row) = self.rows.get_mut(endpoint) {
-            row.send(now);
+            row.record_send(now);
         }
     }
 
     /// Returns what other entries may need to know.
-    pub fn words(&self, now: Instant) -> impl Iterator<Item = Word> {
-        let is_new = move |at| now.saturating_duration_since(at) <= WORD_TIME;
+    pub fn reports(&self, now: Instant) -> impl Iterator<Item = Report> {
+        let is_new = move |at| now.saturating_duration_since(at) <= REPORT_LIFETIME;
         let rows = self.rows.iter().filter(move |(_, row)| is_new(row.at()));
-        rows.map(|(endpoint, row)| Word {
+        rows.map(|(endpoint, row)| Report {
             endpoint: endpoint.clone(),
             limit: row.rate(),
             at: row.at(),
@@ -198,7 +198,7 @@
             let most = if row.rate().is_some() {
                 FORGET_TIME
             } else {
-                WORD_TIME
+                REPORT_LIFETIME
             };
             now.saturating_duration_since(row.at()) <= most
         });
--- a/crates/throttle/src/tolerance.rs
+++ b/crates/throttle/src/tolerance.rs
@@ -25,7 +25,7 @@
 
     /// Returns the most requests of a window that an endpoint of this rate bears.
     #[must_use]
-    pub fn borne(&self, rate: Rate) -> f64 {
+    pub fn max_requests(&self, rate: Rate) -> f64 {
         self.factor * rate.per_second() * self.window.as_secs_f64() + self.slack
     }
 }
--- a/crates/throttle/src/cold.rs
+++ b/crates/throttle/src/warmups.rs
@@ -14,7 +14,7 @@
 
 /// The longest time for which an endpoint is taken for cold: a longer one is a mistake rather
 /// than a start.
-pub const COLD_MAX: Duration = Duration::from_mins(10);
+pub const WARMUP_MAX: Duration = Duration::from_mins(10);
 /// What a cold endpoint bears if the settings don't say: as much as one that names a limit.
 pub const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(1),
@@ -23,18 +23,18 @@
 
 /// The endpoints that are cold, by their names.
 #[derive(Debug)]
-pub struct Cold {
+pub struct Warmups {
     limits: Limits,
     /// Until when each is.
     until: Table<String, Instant>,
 }
 
-impl Cold {
+impl Warmups {
     /// Creates the table of the entry on `host`.
     #[must_use]
     pub fn new(tolerance: Tolerance, host: &str) -> Self {
         Self {
-            limits: Limits::within(tolerance, host),
+            limits: Limits::with_tolerance(tolerance, host),
             until: Table::new(),
         }
     }
@@ -49,15 +49,17 @@
     /// whether it was not known to be cold at this rate.
     pub fn begin(&mut self, endpoint: &str, left: Duration, rate: Rate, now: Instant) -> bool {
         self.until
-            .insert(endpoint.to_owned(), now + left.min(COLD_MAX));
-        self.limits.hear(endpoint, Some(rate), now, now).is_some()
+            .insert(endpoint.to_owned(), now + left.min(WARMUP_MAX));
+        self.limits
+            .apply_report(endpoint, Some(rate), now, now)
+            .is_some()
     }
 
     /// Takes that an endpoint is cold no longer; tells whether it was.
     pub fn end(&mut self, endpoint: &str, now: Instant) -> bool {
         let was_cold = self.until.remove(endpoint).is_some();
         if was_cold {
-            self.limits.hear(endpoint, None, now, now);
+            self.limits.apply_report(endpoint, None, now, now);
         }
         was_cold
     }
@@ -92,8 +94,8 @@
     }
 
     /// Takes that a request is sent to an endpoint.
-    pub fn send(&mut self, endpoint: &str, now: Instant) {
-        self.limits.send(endpoint, now);
+    pub fn record_send(&mut self, endpoint: &str, now: Instant) {
+        self.limits.record_send(endpoint, now);
     }
 
     /// Returns how many endpoints are cold.
--- a/crates/throttle/tests/cold.rs
+++ b/crates/throttle/tests/cold.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Instant};
-use cactusnotch_throttle::cold::TOLERANCE;
-use cactusnotch_throttle::{Allotment, Cold, Rate};
+use cactusnotch_throttle::warmups::TOLERANCE;
+use cactusnotch_throttle::{Allotment, Rate, Warmups};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
@@ -24,19 +24,19 @@
     (0..entries).map(|at| format!("edge-{at}")).collect()
 }
 
-fn table(host: &str, entries: &[String], now: Instant) -> Cold {
-    let mut cold = Cold::new(TOLERANCE, host);
+fn table(host: &str, entries: &[String], now: Instant) -> Warmups {
+    let mut cold = Warmups::new(TOLERANCE, host);
     let entries: Vec<_> = entries.iter().map(String::as_str).collect();
     cold.set_entries(&entries, now);
     cold
 }
 
 /// Sends a request if the endpoint may have one; returns whether it may.
-fn send(cold: &mut Cold, now: Instant) -> bool {
+fn send(cold: &mut Warmups, now: Instant) -> bool {
     let withheld = cold.withheld(ENDPOINT);
-    let may = !withheld.is_some_and(|withheld| withheld.holds(now));
+    let may = !withheld.is_some_and(|withheld| withheld.is_active(now));
     if may {
-        cold.send(ENDPOINT, now);
+        cold.record_send(ENDPOINT, now);
     }
     may
 }
@@ -77,7 +77,7 @@
                     }
                 }
             }
-            let borne = TOLERANCE.borne(rate(per_second));
+            let borne = TOLERANCE.max_requests(rate(per_second));
             let most = u32::try_from(most(&sent)).expect("a few thousand");
             assert!(
                 f64::from(most) <= borne,
@@ -99,7 +99,7 @@
         let hosts = hosts(entries);
         for per_second in RATES.into_iter().filter(|rate| *rate > 0.0) {
             let part = |host: &String| {
-                Allotment::within(TOLERANCE, host, &hosts, ENDPOINT, rate(per_second))
+                Allotment::with_tolerance(TOLERANCE, host, &hosts, ENDPOINT, rate(per_second))
             };
             let holders: Vec<_> = hosts.iter().filter_map(part).collect();
             let holders: Vec<_> = holders.iter().filter(|part| part.is_holder).collect();
@@ -108,7 +108,7 @@
             let sum = f64::from(count + 2) * (each.floor() + 1.0);
             let alone = entries == 1;
             assert!(
-                alone || sum <= TOLERANCE.borne(rate(per_second)),
+                alone || sum <= TOLERANCE.max_requests(rate(per_second)),
                 "{entries} entries, {per_second}/s: {sum}"
             );
         }
@@ -118,7 +118,7 @@
 #[test]
 fn an_entry_that_does_not_know_the_others_sends_nothing() {
     let now = clock::now();
-    let mut cold = Cold::new(TOLERANCE, "edge-0");
+    let mut cold = Warmups::new(TOLERANCE, "edge-0");
     assert!(cold.begin(ENDPOINT, SECOND, rate(14.0), now));
     assert!(!send(&mut cold, now + SECOND / 2));
 }
--- a/crates/throttle/tests/limits.rs
+++ b/crates/throttle/tests/limits.rs
@@ -8,8 +8,8 @@
 
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_route::Withheld;
-use cactusnotch_throttle::limits::Word;
-use cactusnotch_throttle::{Allotment, Limits, Rate, Stated, Statement};
+use cactusnotch_throttle::limits::Report;
+use cactusnotch_throttle::{Allotment, Header, Headers, Limits, Rate};
 use rand::rngs::StdRng;
 use rand::seq::IteratorRandom;
 use rand::{Rng, SeedableRng};
@@ -29,10 +29,10 @@
     (0..entries).map(|at| format!("edge-{at}")).collect()
 }
 
-fn names(limit: f64) -> Statement {
-    Statement {
-        limit: Stated::Value(rate(limit)),
-        ..Statement::default()
+fn names(limit: f64) -> Headers {
+    Headers {
+        limit: Header::Value(rate(limit)),
+        ..Headers::default()
     }
 }
 
@@ -51,9 +51,9 @@
 /// Sends a request if the endpoint may have one; returns whether it may.
 fn send(limits: &mut Limits, now: Instant) -> bool {
     let withheld = limits.withheld(ENDPOINT);
-    let may = !withheld.is_some_and(|withheld| withheld.holds(now));
+    let may = !withheld.is_some_and(|withheld| withheld.is_active(now));
     if may {
-        limits.send(ENDPOINT, now);
+        limits.record_send(ENDPOINT, now);
     }
     may
 }
@@ -85,7 +85,7 @@
     let now = clock::now();
     assert_eq!(Allotment::of("new", &hosts(6), ENDPOINT, rate(1.0)), None);
     let mut alone = Limits::new("edge-0");
-    alone.take(ENDPOINT, &names(5.0), true, now, now);
+    alone.apply_headers(ENDPOINT, &names(5.0), true, now, now);
     assert_eq!(alone.withheld(ENDPOINT), Some(Withheld::Indefinitely));
     assert!(!send(&mut alone, now + 60 * SECOND));
     alone.set_entries(&["edge-0"], now + SECOND);
@@ -98,8 +98,8 @@
     limits: Limits,
     /// The requests under way: when they arrive at the endpoint or when their answers come.
     arriving: Vec<(Instant, Instant)>,
-    answers: Vec<(Instant, Instant, Statement)>,
-    words: Vec<(Instant, Word)>,
+    answers: Vec<(Instant, Instant, Headers)>,
+    words: Vec<(Instant, Report)>,
 }
 
 /// Entries that would send an endpoint far more than it takes.
@@ -152,7 +152,7 @@
         let (begin, end) = (self.now, self.now + time);
         let mut step = 0;
         while self.now < end {
-            let said = limit(self.now - begin).map_or_else(Statement::default, names);
+            let said = limit(self.now - begin).map_or_else(Headers::default, names);
             for at in 0..self.entries.len() {
                 if !self.asleep.contains(&at) {
                     self.step(at, said);
@@ -166,10 +166,12 @@
         }
     }
 
-    fn step(&mut self, at: usize, said: Statement) {
+    fn step(&mut self, at: usize, said: Headers) {
         let (now, entry) = (self.now, &mut self.entries[at]);
         for (_, word) in entry.words.extract_if(.., |(due, _)| *due <= now) {
-            entry.limits.hear(&word.endpoint, word.limit, word.at, now);
+            entry
+                .limits
+                .apply_report(&word.endpoint, word.limit, word.at, now);
         }
         let arriving: Vec<_> = entry
             .arriving
@@ -186,11 +188,11 @@
             .collect();
         let mut told = None;
         for (_, sent, said) in answers {
-            let change = entry.limits.take(ENDPOINT, &said, true, sent, now);
+            let change = entry.limits.apply_headers(ENDPOINT, &said, true, sent, now);
             if let Some(change) = change.filter(|change| change.is_urgent()) {
                 let at = if change.after.is_some() { now } else { sent };
                 let (endpoint, limit) = (ENDPOINT.to_owned(), change.after);
-                told = Some(Word {
+                told = Some(Report {
                     endpoint,
                     limit,
                     at,
@@ -210,7 +212,7 @@
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, word: &Word) {
+    fn tell(&mut self, from: usize, to: usize, word: &Report) {
         let is_cut = self.cut_off.contains(&from) != self.cut_off.contains(&to);
         let hears = !is_cut && !self.asleep.contains(&to);
         if hears && !self.rng.random_bool(self.loss) {
@@ -225,7 +227,7 @@
             let to = (0..self.entries.len())
                 .filter(|&to| to != at)
                 .choose(&mut self.rng);
-            let words: Vec<_> = self.entries[at].limits.words(self.now).collect();
+            let words: Vec<_> = self.entries[at].limits.reports(self.now).collect();
             for word in words {
                 if let Some(to) = to {
                     self.tell(at, to, &word);
@@ -427,7 +429,7 @@
 fn burst(all: &mut [Limits], limit: f64, now: Instant) -> usize {
     let late = now + 40 * SECOND;
     for limits in &mut *all {
-        limits.hear(ENDPOINT, Some(rate(limit)), now, now);
+        limits.apply_report(ENDPOINT, Some(rate(limit)), now, now);
     }
     let at_once = |limits: &mut Limits| (0..10).filter(|_| send(limits, late)).count();
     all.iter_mut().map(at_once).sum()
@@ -480,34 +482,37 @@
     let now = clock::now();
     let mut limits = limits("edge-0", &hosts(1), now);
     let at = |millis| now + Duration::from_millis(millis);
-    let nothing = Statement::default();
-    let unreadable = Statement {
-        limit: Stated::Unreadable,
-        ..Statement::default()
+    let nothing = Headers::default();
+    let unreadable = Headers {
+        limit: Header::Invalid,
+        ..Headers::default()
     };
-    limits.take(ENDPOINT, &names(1.0), true, at(0), at(100));
+    limits.apply_headers(ENDPOINT, &names(1.0), true, at(0), at(100));
     // Sent before the limit was heard of; turned away; unreadable.
-    assert_eq!(limits.take(ENDPOINT, &nothing, true, at(50), at(200)), None);
     assert_eq!(
-        limits.take(ENDPOINT, &nothing, false, at(150), at(200)),
+        limits.apply_headers(ENDPOINT, &nothing, true, at(50), at(200)),
         None
     );
     assert_eq!(
-        limits.take(ENDPOINT, &unreadable, true, at(150), at(200)),
+        limits.apply_headers(ENDPOINT, &nothing, false, at(150), at(200)),
+        None
+    );
+    assert_eq!(
+        limits.apply_headers(ENDPOINT, &unreadable, true, at(150), at(200)),
         None
     );
     assert_eq!(limits.rate(ENDPOINT), Some(rate(1.0)));
-    let change = limits.take(ENDPOINT, &nothing, true, at(150), at(250));
+    let change = limits.apply_headers(ENDPOINT, &nothing, true, at(150), at(250));
     assert_eq!(change.map(|change| change.after), Some(None));
     // A word of before is known to be old.
     assert_eq!(
-        limits.hear(ENDPOINT, Some(rate(1.0)), at(120), at(300)),
+        limits.apply_report(ENDPOINT, Some(rate(1.0)), at(120), at(300)),
         None
     );
     assert_eq!(limits.rate(ENDPOINT), None);
     assert!(
         limits
-            .hear(ENDPOINT, Some(rate(2.0)), at(280), at(300))
+            .apply_report(ENDPOINT, Some(rate(2.0)), at(280), at(300))
             .is_some()
     );
 }
@@ -522,10 +527,10 @@
     };
     let host = hosts.iter().find(without).expect("nine of 149 share it");
     let mut limits = limits(host, &hosts, now);
-    limits.hear(ENDPOINT, Some(rate(1.0)), now, now);
+    limits.apply_report(ENDPOINT, Some(rate(1.0)), now, now);
     assert!(!send(&mut limits, now + 59 * SECOND));
     // A word in between, which changes nothing else.
-    limits.hear(
+    limits.apply_report(
         ENDPOINT,
         Some(rate(1.0)),
         now + 30 * SECOND,
@@ -542,14 +547,17 @@
     let now = clock::now();
     let mut limits = limits("edge-0", &hosts(6), now);
     let late = now + 61 * SECOND;
-    assert_eq!(limits.hear(ENDPOINT, Some(rate(1.0)), now, late), None);
-    limits.hear(ENDPOINT, Some(rate(1.0)), late, late);
-    assert_eq!(limits.words(late).count(), 1);
-    assert_eq!(limits.words(late + 61 * SECOND).count(), 0);
+    assert_eq!(
+        limits.apply_report(ENDPOINT, Some(rate(1.0)), now, late),
+        None
+    );
+    limits.apply_report(ENDPOINT, Some(rate(1.0)), late, late);
+    assert_eq!(limits.reports(late).count(), 1);
+    assert_eq!(limits.reports(late + 61 * SECOND).count(), 0);
     assert!(!limits.expire(late + 61 * SECOND));
     assert!(limits.expire(late + 601 * SECOND));
     for number in 0..5_000 {
-        limits.hear(&format!("i-{number}"), Some(rate(1.0)), late, late);
+        limits.apply_report(&format!("i-{number}"), Some(rate(1.0)), late, late);
     }
     assert!(limits.limited() < 3_000, "what is remembered is bounded");
 }
--- a/crates/throttle/tests/rests.rs
+++ b/crates/throttle/tests/rests.rs
@@ -1,4 +1,4 @@
-//! Rests that endpoints ask an entry for.
+//! Backoffs that endpoints ask an entry for.
 //!
 //! Patterns: an endpoint that turns all away for seconds, one that asks again and again with
 //! other times, and callers that all come back when its rest ends.
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Instant};
-use cactusnotch_throttle::Rests;
-use cactusnotch_throttle::rests::REST_MAX;
+use cactusnotch_throttle::Backoffs;
+use cactusnotch_throttle::backoffs::BACKOFF_MAX;
 
 const ENDPOINT: &str = "i-1";
 
@@ -16,11 +16,11 @@
 }
 
 /// Sends a request if the endpoint may have one; returns whether it may.
-fn send(rests: &mut Rests, now: Instant) -> bool {
+fn send(rests: &mut Backoffs, now: Instant) -> bool {
     let withheld = rests.withheld(ENDPOINT);
-    let may = !withheld.is_some_and(|withheld| withheld.holds(now));
+    let may = !withheld.is_some_and(|withheld| withheld.is_active(now));
     if may {
-        rests.send(ENDPOINT, now);
+        rests.record_send(ENDPOINT, now);
     }
     may
 }
@@ -43,9 +43,9 @@
         &[(0.0, 3.0, Some(3.0)), (1.0, 0.5, None), (2.0, 1.0, None)],
     ];
     for case in cases {
-        let mut rests = Rests::default();
+        let mut rests = Backoffs::default();
         for &(time, asked, granted) in case {
-            let rest = rests.ask(ENDPOINT, seconds(asked), at(time));
+            let rest = rests.request(ENDPOINT, seconds(asked), at(time));
             assert_eq!(rest, granted.map(seconds), "{case:?}");
         }
         assert!(!send(&mut rests, at(2.999)), "{case:?}");
@@ -57,11 +57,11 @@
 fn neither_a_success_nor_a_refusal_without_a_time_ends_a_rest() {
     let now = clock::now();
     let at = |time| now + seconds(time);
-    let mut rests = Rests::default();
-    rests.ask(ENDPOINT, seconds(3.0), at(0.0));
+    let mut rests = Backoffs::default();
+    rests.request(ENDPOINT, seconds(3.0), at(0.0));
     // Requests that were under way when the endpoint asked.
-    assert!(!rests.answer(ENDPOINT, now - seconds(0.2)));
-    assert!(!rests.answer(ENDPOINT, at(2.9)));
+    assert!(!rests.record_answer(ENDPOINT, now - seconds(0.2)));
+    assert!(!rests.record_answer(ENDPOINT, at(2.9)));
     assert!(!send(&mut rests, at(2.9)));
 }
 
@@ -69,16 +69,16 @@
 fn after_a_rest_one_request_shows_whether_it_is_over() {
     let now = clock::now();
     let at = |time| now + seconds(time);
-    let mut rests = Rests::default();
-    rests.ask(ENDPOINT, seconds(3.0), at(0.0));
+    let mut rests = Backoffs::default();
+    rests.request(ENDPOINT, seconds(3.0), at(0.0));
     assert!(send(&mut rests, at(3.1)));
     assert!(!send(&mut rests, at(3.1)), "one is under way");
     // It is turned away again.
-    rests.ask(ENDPOINT, seconds(2.0), at(3.2));
+    rests.request(ENDPOINT, seconds(2.0), at(3.2));
     assert!(!send(&mut rests, at(5.1)));
     assert!(send(&mut rests, at(5.3)));
     assert!(!send(&mut rests, at(5.9)));
-    assert!(rests.answer(ENDPOINT, at(5.3)));
+    assert!(rests.record_answer(ENDPOINT, at(5.3)));
     assert!(send(&mut rests, at(5.9)) && send(&mut rests, at(5.9)));
     assert_eq!(rests.withheld(ENDPOINT), None);
 }
@@ -87,8 +87,8 @@
 fn if_the_first_request_after_a_rest_gets_no_answer_another_follows() {
     let now = clock::now();
     let at = |time| now + seconds(time);
-    let mut rests = Rests::default();
-    rests.ask(ENDPOINT, seconds(1.0), at(0.0));
+    let mut rests = Backoffs::default();
+    rests.request(ENDPOINT, seconds(1.0), at(0.0));
     let sent = (0..40).filter(|step| send(&mut rests, at(f64::from(*step) / 10.0)));
     assert_eq!(sent.collect::<Vec<_>>(), [10, 20, 30]);
 }
@@ -96,19 +96,22 @@
 #[test]
 fn rests_beyond_all_bounds_are_cut() {
     let now = clock::now();
-    let mut rests = Rests::default();
-    assert_eq!(rests.ask(ENDPOINT, Duration::MAX, now), Some(REST_MAX));
-    assert!(!send(&mut rests, now + REST_MAX - seconds(1.0)));
-    assert!(send(&mut rests, now + REST_MAX));
+    let mut rests = Backoffs::default();
+    assert_eq!(
+        rests.request(ENDPOINT, Duration::MAX, now),
+        Some(BACKOFF_MAX)
+    );
+    assert!(!send(&mut rests, now + BACKOFF_MAX - seconds(1.0)));
+    assert!(send(&mut rests, now + BACKOFF_MAX));
 }
 
 #[test]
 fn rests_are_forgotten_a_minute_after_their_end() {
     let now = clock::now();
-    let mut rests = Rests::default();
-    rests.ask(ENDPOINT, seconds(3.0), now);
-    assert_eq!(rests.resting(now + seconds(2.0)), 1);
-    assert_eq!(rests.resting(now + seconds(4.0)), 0);
+    let mut rests = Backoffs::default();
+    rests.request(ENDPOINT, seconds(3.0), now);
+    assert_eq!(rests.active(now + seconds(2.0)), 1);
+    assert_eq!(rests.active(now + seconds(4.0)), 0);
     assert!(!rests.expire(now + seconds(62.0)));
     assert!(rests.expire(now + seconds(64.0)));
     assert_eq!(rests.withheld(ENDPOINT), None);
