--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -14,8 +14,8 @@
 use crate::notifications::Notification;
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::allotment;
-use cactusnotch_throttle::limits::{Change, Word};
-use cactusnotch_throttle::{Stated, Statement};
+use cactusnotch_throttle::limits::{Change, Report};
+use cactusnotch_throttle::{Header, Headers};
 
 /// The most words that are told at once: with some 50 bytes each, a datagram each half second
 /// that takes a quarter of what an entry may spend on control.
@@ -41,7 +41,7 @@
         let Some(change) = update.limit else {
             return;
         };
-        let report = Word {
+        let report = Report {
             endpoint: endpoint.instance.clone(),
             limit: change.after,
             at: if change.after.is_some() { now } else { sent },
@@ -54,7 +54,7 @@
     }
 
     /// Takes what another entry says of endpoints' limits.
-    pub(crate) fn apply_limit_reports(&self, reports: &[Word], now: Instant) {
+    pub(crate) fn apply_limit_reports(&self, reports: &[Report], now: Instant) {
         for report in reports {
             let change = self.fleet.borrow_mut().apply_limit_report(report, now);
             if let Some(change) = change {
@@ -127,7 +127,7 @@
         self.gauge(now);
     }
 
-    fn log_limit(&self, report: &Word, change: Change, source: &str, now: Instant) {
+    fn log_limit(&self, report: &Report, change: Change, source: &str, now: Instant) {
         let ago = millis(now.saturating_duration_since(report.at));
         let rate = |limit: Option<Rate>| limit.map(Rate::per_second);
         let (before, limit) = (rate(change.before), rate(change.after));
@@ -145,9 +145,9 @@
     }
 
     /// Writes once for each endpoint what it says that can't be read.
-    fn warn_unreadable(&self, endpoint: &Endpoint, statement: &Statement) {
-        let limit = (statement.limit == Stated::Unreadable).then_some("limit");
-        let rest = (statement.rest == Stated::Unreadable).then_some("rest");
+    fn warn_unreadable(&self, endpoint: &Endpoint, statement: &Headers) {
+        let limit = (statement.limit == Header::Invalid).then_some("limit");
+        let rest = (statement.backoff == Header::Invalid).then_some("rest");
         for what in limit.into_iter().chain(rest) {
             if self.reported.borrow_mut().is_new(&endpoint.instance, what) {
                 let endpoint = endpoint.id.as_str();
@@ -170,12 +170,12 @@
 }
 
 /// Writes what an answer has changed of an endpoint's rest and leaving.
-fn log_update(endpoint: &Endpoint, update: &Update, statement: &Statement) {
+fn log_update(endpoint: &Endpoint, update: &Update, statement: &Headers) {
     let endpoint = endpoint.id.as_str();
     if let Some(rest) = update.back_off {
-        let asked_ms = match statement.rest {
-            Stated::Value(asked) => Some(millis(asked)),
-            Stated::Nothing | Stated::Unreadable => None,
+        let asked_ms = match statement.backoff {
+            Header::Value(asked) => Some(millis(asked)),
+            Header::Absent | Header::Invalid => None,
         };
         tracing::info!(
             endpoint,
