--- a/crates/group/src/coordination.rs
+++ b/crates/group/src/coordination.rs
@@ -76,7 +76,7 @@
         if let Some(placed) = self.plans.next(current, &self.seats, now) {
             let digest = placed.digest();
             self.wanted.insert(digest, placed);
-            self.step(context, Event::Want { digest });
+            self.step(context, Event::SwitchTo { digest });
         }
     }
 
@@ -160,7 +160,7 @@
                 self.wake = Some(self.wake.map_or(wake, |set| set.min(wake)));
             }
             Command::Ended(ending) => self.ended(ending),
-            Command::Superseded => tracing::info!("another agent coordinates the group now"),
+            Command::LeaseLost => tracing::info!("another agent coordinates the group now"),
         }
     }
 
--- a/crates/group/src/engine.rs
+++ b/crates/group/src/engine.rs
@@ -6,7 +6,7 @@
 use cactusnotch_order::{Answer, Order};
 use cactusnotch_placement::Map as Content;
 use cactusnotch_popularity::Report;
-use cactusnotch_switch::engine::{State, Wish};
+use cactusnotch_switch::engine::{Action, State};
 use serde::Serialize;
 use ureq::Agent;
 
@@ -23,7 +23,7 @@
 #[derive(Serialize)]
 struct Command<'a> {
     fence: Fence,
-    order: Wish,
+    order: Action,
     #[serde(skip_serializing_if = "Option::is_none")]
     content: Option<&'a Content>,
 }
@@ -45,7 +45,7 @@
     /// Sends an order, with the content of the map that it names.
     pub(crate) fn order(
         &self,
-        order: &Order<Wish>,
+        order: &Order<Action>,
         content: Option<&Content>,
     ) -> Option<Answer<State>> {
         let command = Command {
--- a/crates/group/src/membership.rs
+++ b/crates/group/src/membership.rs
@@ -8,7 +8,7 @@
 use cactusnotch_order::Answer;
 use cactusnotch_placement::{Map as Content, Rank as Place};
 use cactusnotch_popularity::Report;
-use cactusnotch_switch::engine::{Expert, State, Wish};
+use cactusnotch_switch::engine::{Action, Expert, State};
 use cactusnotch_switch::rank::{Command, Event, Member, Retirement};
 use cactusnotch_switch::{Map, Message, Peer, Rank, Switch, View};
 use cactusnotch_telemetry::metric;
@@ -139,7 +139,7 @@
         placed: Content,
     ) {
         let place = Place(context.options.rank.0);
-        let experts = placed.held(place).map(expert).collect();
+        let experts = placed.experts_on(place).map(expert).collect();
         self.keep(map, placed);
         self.step(context, Event::Experts { map, experts });
     }
@@ -203,7 +203,7 @@
             }
             Command::Order(order) => {
                 let placed = match order.wanted {
-                    Wish::Use(switch) => self.contents.get(&switch.map).cloned(),
+                    Action::Use(switch) => self.contents.get(&switch.map).cloned(),
                     _ => None,
                 };
                 context.call(move |_, engine| {
--- a/crates/group/src/planning.rs
+++ b/crates/group/src/planning.rs
@@ -67,7 +67,7 @@
                 return None;
             }
         };
-        let loads = budget.loads(self.options.planner.bytes);
+        let loads = budget.max_loads(self.options.planner.bytes);
         let count = plan.moves.len().min(loads.max(plan.required));
         tracing::info!(
             moves = count,
@@ -75,6 +75,6 @@
             after = plan.predicted.after,
             "switch to another map planned"
         );
-        plan.after(count).ok()
+        plan.map_after(count).ok()
     }
 }
--- a/crates/placement/examples/traces/simulation.rs
+++ b/crates/placement/examples/traces/simulation.rs
@@ -61,7 +61,7 @@
 
 /// Runs `policy` on `trace`.
 pub fn run(trace: &Trace, policy: Policy) -> Summary {
-    let map = pack::map(SHAPE, &trace.rates(0), &trace.speeds(0), SLOTS);
+    let map = pack::pack(SHAPE, &trace.rates(0), &trace.speeds(0), SLOTS);
     let mut run = Run {
         trace,
         policy,
@@ -125,7 +125,8 @@
             self.summary.switches += 1;
             self.summary.disturbed += SWITCH * f64::from(STEPS);
             for (rank, state) in self.states.iter_mut().enumerate() {
-                if *state == State::Empty && self.map.held(Rank(rank as u16)).next().is_some() {
+                if *state == State::Empty && self.map.experts_on(Rank(rank as u16)).next().is_some()
+                {
                     *state = State::Loaded;
                 }
             }
@@ -245,7 +246,7 @@
                 .for_each(|(whole, time)| *whole += time);
             let tokens = &tokens[SHAPE.layer(layer)];
             ideal += tokens.iter().sum::<f64>() / total;
-            least += bound::layer(tokens, speeds, SLOTS);
+            least += bound::layer_time(tokens, speeds, SLOTS);
         }
         if !slowest.is_finite() {
             self.summary.stalled += 1;
--- a/crates/placement/src/bound.rs
+++ b/crates/placement/src/bound.rs
@@ -12,7 +12,7 @@
 /// that an expert needs enough replicas for none to take longer, with no more
 /// replicas than slots.
 #[must_use]
-pub fn layer(loads: &[f64], speeds: &[f64], slots: usize) -> f64 {
+pub fn layer_time(loads: &[f64], speeds: &[f64], slots: usize) -> f64 {
     let speed: f64 = speeds.iter().sum();
     let fastest = speeds.iter().copied().fold(0.0, f64::max);
     let usable = speeds.iter().filter(|&&speed| speed > 0.0).count();
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/budget.rs
@@ -17,7 +17,7 @@
 impl Budget {
     /// Returns how many loads of `bytes` fit into the interval.
     #[must_use]
-    pub fn loads(&self, bytes: u64) -> usize {
+    pub fn max_loads(&self, bytes: u64) -> usize {
         let total = u128::from(self.rate) * self.interval.as_millis() / 1_000;
         usize::try_from(total / u128::from(bytes.max(1))).unwrap_or(usize::MAX)
     }
@@ -25,7 +25,7 @@
     /// Returns the seconds that a load of `bytes` takes.
     #[must_use]
     #[expect(clippy::cast_precision_loss, reason = "sizes are below 2^53 bytes")]
-    pub fn seconds(&self, bytes: u64) -> f64 {
+    pub fn load_seconds(&self, bytes: u64) -> f64 {
         bytes as f64 / self.rate.max(1) as f64
     }
 }
--- a/crates/placement/src/draft.rs
+++ b/crates/placement/src/draft.rs
@@ -76,7 +76,7 @@
             .collect();
         let total: f64 = speeds.iter().sum();
         for forecast in &self.forecasts {
-            let bound = bound::layer(&forecast.near, &speeds, self.slots);
+            let bound = bound::layer_time(&forecast.near, &speeds, self.slots);
             self.bounds.push(bound);
             self.ideal += forecast.near.iter().sum::<f64>() / total;
         }
--- a/crates/placement/src/improve.rs
+++ b/crates/placement/src/improve.rs
@@ -22,7 +22,7 @@
     budget: &Budget,
 ) -> f64 {
     let mut left = budget
-        .loads(options.bytes)
+        .max_loads(options.bytes)
         .saturating_sub(draft.moves.len());
     let mut bundles = search(draft, options, weights, budget, left);
     bundles.sort_by(|a, b| {
@@ -111,7 +111,7 @@
     });
     Terms {
         saving: weights.skew / draft.slowest(),
-        cost: weights.cost * budget.seconds(options.bytes),
+        cost: weights.cost * budget.load_seconds(options.bytes),
         near: near.as_secs_f64(),
         far: horizon.saturating_sub(near).as_secs_f64(),
         caution: weights.caution,
--- a/crates/placement/src/map.rs
+++ b/crates/placement/src/map.rs
@@ -118,7 +118,7 @@
     }
 
     /// Returns the experts that `rank` holds.
-    pub fn held(&self, rank: Rank) -> impl Iterator<Item = Cell> {
+    pub fn experts_on(&self, rank: Rank) -> impl Iterator<Item = Cell> {
         self.cells()
             .filter(move |(_, row)| position(row, rank).is_ok())
             .map(|(cell, _)| cell)
@@ -152,7 +152,7 @@
     /// # Errors
     ///
     /// Returns the first rank and layer with too many experts.
-    pub fn fits(&self, slots: usize) -> Result<(), Error> {
+    pub fn check_slots(&self, slots: usize) -> Result<(), Error> {
         let ranks = self.rows.iter().flatten().map(|r| r.rank.index() + 1);
         let mut held = vec![0; ranks.max().unwrap_or(0)];
         for layer in 0..self.shape.layers {
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -47,7 +47,7 @@
     ///
     /// Never for a plan that a planner made.
     pub fn map(&self) -> Result<Map, map::Error> {
-        self.after(self.moves.len())
+        self.map_after(self.moves.len())
     }
 
     /// Returns the map after the first `count` moves, with traffic split to
@@ -56,7 +56,7 @@
     /// # Errors
     ///
     /// Returns an error if fewer than the required moves are made.
-    pub fn after(&self, count: usize) -> Result<Map, map::Error> {
+    pub fn map_after(&self, count: usize) -> Result<Map, map::Error> {
         let mut layers = self.layers.clone();
         for order in self.moves.iter().take(count) {
             let layer = &mut layers[usize::from(order.cell.layer)];
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -98,7 +98,7 @@
         now: Instant,
     ) -> Result<Option<Plan>, Error> {
         self.check(current, states)?;
-        self.popularity.tick();
+        self.popularity.update_bursts();
         let mut draft = Draft::new(&self.options, &self.popularity, current, states);
         let before = draft.skew();
         draft.balance();
--- a/crates/placement/tests/placement/plan.rs
+++ b/crates/placement/tests/placement/plan.rs
@@ -39,7 +39,8 @@
 }
 
 fn holds(map: &Map, states: &[State], loaded: &[(u16, cactusnotch_placement::Cell)]) {
-    map.fits(SLOTS).expect("no rank holds more than its slots");
+    map.check_slots(SLOTS)
+        .expect("no rank holds more than its slots");
     for (cell, row) in map.cells() {
         assert!(!row.is_empty());
         for replica in row {
@@ -71,7 +72,7 @@
         let old = group.map.clone();
         if let Some(plan) = group.plan(&weights) {
             for count in plan.required..=plan.moves.len() {
-                let map = plan.after(count).expect("a plan can be cut after its required moves");
+                let map = plan.map_after(count).expect("a plan can be cut after its required moves");
                 let loaded: Vec<_> = plan.moves[..count].iter().map(|m| (m.to.0, m.cell)).collect();
                 holds(&map, &group.states, &loaded);
                 for (cell, row) in map.cells() {
--- a/crates/placement/tests/placement/policy.rs
+++ b/crates/placement/tests/placement/policy.rs
@@ -144,7 +144,7 @@
 #[test]
 fn a_map_keeps_its_digest_when_it_is_sent_and_is_checked_when_it_arrives() {
     let loads = hot(SHAPE, EACH, 3, 5.0);
-    let map = pack::map(SHAPE, &loads, &[1.0; 16], 2).unwrap();
+    let map = pack::pack(SHAPE, &loads, &[1.0; 16], 2).unwrap();
     let mut bytes = Vec::new();
     ciborium::into_writer(&map, &mut bytes).unwrap();
     let read: Map = ciborium::from_reader(bytes.as_slice()).unwrap();
@@ -156,7 +156,7 @@
     let mut short = rows.clone();
     short[0][0].share.0 -= 1;
     assert!(Map::new(SHAPE, short).is_err());
-    assert!(map.fits(2).is_ok() && map.fits(1).is_err());
+    assert!(map.check_slots(2).is_ok() && map.check_slots(1).is_err());
     assert_eq!(
         map.replicas(Cell {
             layer: 9,
@@ -169,6 +169,6 @@
 #[test]
 fn the_bound_counts_slots() {
     // Two ranks of one slot each: the heavy expert has one of them at best.
-    assert!((bound::layer(&[3.0, 1.0], &[1.0, 1.0], 1) - 3.0).abs() < 1e-6);
-    assert!((bound::layer(&[3.0, 1.0], &[1.0, 1.0], 2) - 2.0).abs() < 1e-6);
+    assert!((bound::layer_time(&[3.0, 1.0], &[1.0, 1.0], 1) - 3.0).abs() < 1e-6);
+    assert!((bound::layer_time(&[3.0, 1.0], &[1.0, 1.0], 2) - 2.0).abs() < 1e-6);
 }
--- a/crates/popularity/src/popularity.rs
+++ b/crates/popularity/src/popularity.rs
@@ -23,7 +23,7 @@
     /// The report was seen before, is too old to tell, or is from a former
     /// life of the rank.
     #[display("report {} of rank {rank} was seen before or is too old", sequence.0)]
-    Seen {
+    Stale {
         /// The rank.
         rank: Rank,
         /// The number of the report.
@@ -98,7 +98,7 @@
         let source = &mut self.sources[rank.index()];
         if !source.admit(report) {
             let sequence = report.sequence;
-            return Err(Error::Seen { rank, sequence });
+            return Err(Error::Stale { rank, sequence });
         }
         let fixed = self.options.fixed * report.steps;
         let busy = report.busy.saturating_sub(fixed);
@@ -156,7 +156,7 @@
 
     /// Runs over all experts and notes where a burst begins or ends. It is to
     /// be called about once a second.
-    pub fn tick(&mut self) {
+    pub fn update_bursts(&mut self) {
         for layer in 0..self.shape.layers {
             let least = COLD * self.mean(layer);
             for at in self.shape.layer(layer) {
--- a/crates/popularity/tests/estimates.rs
+++ b/crates/popularity/tests/estimates.rs
@@ -51,7 +51,7 @@
                 .observe(&report(rank, sequence, rate))
                 .expect("a new report");
         }
-        popularity.tick();
+        popularity.update_bursts();
     }
     popularity
 }
--- a/crates/standins/src/ranks/rank.rs
+++ b/crates/standins/src/ranks/rank.rs
@@ -6,7 +6,7 @@
 use cactusnotch_derive::message;
 use cactusnotch_order::{Answer, Reply};
 use cactusnotch_placement::{Cell, Map, Rank};
-use cactusnotch_switch::engine::{Expert, State, Wish};
+use cactusnotch_switch::engine::{Action, Expert, State};
 use cactusnotch_switch::map::{Map as Name, Switch};
 
 use crate::engine::Fencing;
@@ -18,7 +18,7 @@
     pub fence: Fence,
     /// What the rank is to do.
     #[serde(alias = "wanted")]
-    pub order: Wish,
+    pub order: Action,
     /// The content of the map that a use names, unless the rank has it.
     #[serde(default)]
     pub content: Option<Map>,
@@ -72,7 +72,7 @@
     pub(crate) fn install(&mut self, switch: Switch, map: &Map) {
         self.maps.insert(switch.map, map.clone());
         self.state.plan.push(switch);
-        self.state.experts = map.held(self.rank).map(expert).collect();
+        self.state.experts = map.experts_on(self.rank).map(expert).collect();
     }
 
     /// Returns the answer to a read.
@@ -95,11 +95,11 @@
         }
         self.fence = command.fence;
         let taken = match command.order {
-            Wish::Hold(step) => self.hold(step),
-            Wish::Release(step) => self.release(step),
-            Wish::Use(switch) => self.use_map(switch, command.content),
-            Wish::Load(expert) => self.load(expert),
-            Wish::Unload(expert) => self.unload(expert),
+            Action::Hold(step) => self.hold(step),
+            Action::Release(step) => self.release(step),
+            Action::Use(switch) => self.use_map(switch, command.content),
+            Action::Load(expert) => self.load(expert),
+            Action::Unload(expert) => self.unload(expert),
         };
         if let Some(step) = command.release.filter(|_| taken) {
             self.release(step);
@@ -191,7 +191,7 @@
         }
         let set = self.state.plan.iter().rev().find(|set| set.from <= next)?;
         let map = self.maps.get(&set.map)?;
-        let mut needed = map.held(self.rank).map(expert);
+        let mut needed = map.experts_on(self.rank).map(expert);
         needed
             .all(|expert| self.state.experts.binary_search(&expert).is_ok())
             .then_some(set.map)
--- a/crates/standins/tests/ranks.rs
+++ b/crates/standins/tests/ranks.rs
@@ -14,7 +14,7 @@
 use cactusnotch_standins::engine::Fencing;
 use cactusnotch_standins::ranks::{self, Command, Group, Options};
 use cactusnotch_standins::weights::{self, Weights};
-use cactusnotch_switch::engine::{Expert, State, Wish};
+use cactusnotch_switch::engine::{Action, Expert, State};
 use cactusnotch_switch::map::{Map as Name, Switch};
 use wait::{LONG, until};
 
@@ -32,7 +32,7 @@
     }
 }
 
-fn command(order: Wish) -> Command {
+fn command(order: Action) -> Command {
     Command {
         fence: Fence(1),
         order,
@@ -78,7 +78,7 @@
         &Command {
             content,
             release: Some(switch.from),
-            ..command(Wish::Use(switch))
+            ..command(Action::Use(switch))
         },
     )
 }
@@ -86,12 +86,12 @@
 /// Orders the weights that `map` needs and waits until they are there.
 fn load(group: &Group, rank: Rank, map: &Map) {
     let experts: Vec<Expert> = map
-        .held(rank)
+        .experts_on(rank)
         .map(|Cell { layer, expert }| Expert { layer, expert })
         .collect();
     for expert in &experts {
         assert_eq!(
-            order(group, rank, &command(Wish::Load(*expert))).reply,
+            order(group, rank, &command(Action::Load(*expert))).reply,
             Reply::Taken
         );
     }
@@ -104,7 +104,7 @@
 /// Holds `rank` at the first step that it has not started.
 fn hold(group: &Group, rank: Rank) -> Step {
     let mut step = group.state(rank).next;
-    while order(group, rank, &command(Wish::Hold(step))).reply == Reply::Refused {
+    while order(group, rank, &command(Action::Hold(step))).reply == Reply::Refused {
         step = group.state(rank).next.next();
     }
     step
@@ -116,9 +116,9 @@
     let held = hold(&group, Rank(1));
     until(|| group.state(Rank(0)).next > held && group.state(Rank(2)).next > held);
     assert_eq!((group.step(), group.state(Rank(1)).next), (held, held));
-    let late = order(&group, Rank(0), &command(Wish::Hold(held)));
+    let late = order(&group, Rank(0), &command(Action::Hold(held)));
     assert_eq!((late.reply, late.state.next), (Reply::Refused, held.next()));
-    order(&group, Rank(1), &command(Wish::Release(held)));
+    order(&group, Rank(1), &command(Action::Release(held)));
     assert!(group.wait_for(held.next(), LONG));
     let maps: Vec<_> = group
         .log(Rank(1))
@@ -152,7 +152,7 @@
     }
     for rank in RANKS {
         for held in group.state(rank).holds {
-            order(&group, rank, &command(Wish::Release(held)));
+            order(&group, rank, &command(Action::Release(held)));
         }
     }
     assert!(group.wait_for(from.next(), LONG));
@@ -166,7 +166,7 @@
         layer: 0,
         expert: 0,
     };
-    let needed = order(&group, Rank(1), &command(Wish::Unload(used)));
+    let needed = order(&group, Rank(1), &command(Action::Unload(used)));
     assert_eq!(needed.reply, Reply::Refused);
     let lone = hold(&group, Rank(2));
     let old = ranks::spread(3, SHAPE);
@@ -191,11 +191,11 @@
         .read_json()
         .unwrap();
     let state = empty.state;
-    assert!(state.is_fresh() && state.plan.is_empty() && state.experts.is_empty());
+    assert!(state.is_awaiting_start() && state.plan.is_empty() && state.experts.is_empty());
     assert_eq!((state.life, state.next), (2, next));
     let map = ranks::spread(3, SHAPE);
     let switch = named(1, &map, Step(0));
-    order(&group, Rank(2), &command(Wish::Release(next)));
+    order(&group, Rank(2), &command(Action::Release(next)));
     assert_eq!(use_map(&group, Rank(2), switch, &map).reply, Reply::Taken);
     assert_eq!(group.state(Rank(2)).next, next, "the weights are missing");
     load(&group, Rank(2), &map);
@@ -223,10 +223,10 @@
         .unwrap();
         let newer = Command {
             fence: Fence(9),
-            ..command(Wish::Hold(Step(4)))
+            ..command(Action::Hold(Step(4)))
         };
         order(&group, Rank(0), &newer);
-        let answer = order(&group, Rank(0), &command(Wish::Release(Step(0))));
+        let answer = order(&group, Rank(0), &command(Action::Release(Step(0))));
         assert_eq!(answer.reply, reply);
         let held = answer.state.holds.contains(&Step(0));
         assert_eq!(held, reply == Reply::Fenced);
--- a/crates/switch/examples/switch_cost.rs
+++ b/crates/switch/examples/switch_cost.rs
@@ -223,7 +223,7 @@
     /// Runs until a switch has ended, and for a while after.
     fn switch(&mut self, digest: u64) -> Ending {
         let ended = self.world.endings.len();
-        let want = coordinator::Event::Want { digest };
+        let want = coordinator::Event::SwitchTo { digest };
         self.world.coordinator(0, want);
         self.collect();
         while self.world.endings.len() == ended {
@@ -281,7 +281,7 @@
 fn measure_orphan(size: u16) {
     let mut run = Run::new(size, 0.0);
     run.world
-        .coordinator(0, coordinator::Event::Want { digest: 1 });
+        .coordinator(0, coordinator::Event::SwitchTo { digest: 1 });
     run.collect();
     while run.world.votes.is_empty() {
         run.advance();
--- a/crates/switch/src/coordinator.rs
+++ b/crates/switch/src/coordinator.rs
@@ -116,7 +116,7 @@
             }
             Event::Wake => self.wake(now, &mut out),
             Event::Lease(found) => self.lease_read(found, now, &mut out),
-            Event::Want { digest } => self.want(digest, &mut out),
+            Event::SwitchTo { digest } => self.switch_to(digest, &mut out),
             Event::Group { version, view } => self.group_read(version, view, &mut out),
             Event::MapRecorded(map) => self.map_recorded(map, now, &mut out),
             Event::Message(message) => self.received(message, &mut out),
--- a/crates/switch/src/coordinator/event.rs
+++ b/crates/switch/src/coordinator/event.rs
@@ -23,7 +23,7 @@
     /// of a [`Command::WriteLease`], whatever came of it.
     Lease(Option<(Version, Lease)>),
     /// The group shall go over to the map with this content.
-    Want {
+    SwitchTo {
         /// A digest of the map's content.
         digest: u64,
     },
@@ -78,7 +78,7 @@
     /// The switch has ended.
     Ended(Ending),
     /// Another agent holds the lease now.
-    Superseded,
+    LeaseLost,
 }
 
 /// How a switch ended.
--- a/crates/switch/src/coordinator/lease.rs
+++ b/crates/switch/src/coordinator/lease.rs
@@ -55,7 +55,7 @@
         if matches!(self.tenure, Tenure::Holding { .. }) {
             self.stage = Stage::Idle;
             self.tenure = Tenure::Watching { seen: None };
-            out.push(Command::Superseded);
+            out.push(Command::LeaseLost);
         }
         let version = found.as_ref().map(|(version, _)| *version);
         if self.has_lapsed(version, now) {
--- a/crates/switch/src/coordinator/round.rs
+++ b/crates/switch/src/coordinator/round.rs
@@ -13,7 +13,7 @@
 use crate::view::{Rank, View};
 
 impl Coordinator {
-    pub(super) fn want(&mut self, digest: u64, out: &mut Vec<Command>) {
+    pub(super) fn switch_to(&mut self, digest: u64, out: &mut Vec<Command>) {
         if self.fence().is_none() || !self.is_idle() {
             out.push(Command::Ended(Ending::Abandoned));
             return;
--- a/crates/switch/src/engine.rs
+++ b/crates/switch/src/engine.rs
@@ -18,7 +18,7 @@
 /// What a rank's engine is to do.
 #[message]
 #[derive(Copy, Eq, Hash)]
-pub enum Wish {
+pub enum Action {
     /// Do not start the step until it is released; refused once started.
     Hold(Step),
     /// Start the step when its time comes.
@@ -71,12 +71,12 @@
     /// Tells whether the engine is without part in the group so far: it has
     /// started no step and will not by itself.
     #[must_use]
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_awaiting_start(&self) -> bool {
         !self.started && self.holds.contains(&self.next)
     }
 }
 
-impl Wanted for Wish {
+impl Wanted for Action {
     type State = State;
 
     fn supersedes(&self, other: &Self) -> bool {
--- a/crates/switch/src/message.rs
+++ b/crates/switch/src/message.rs
@@ -140,13 +140,13 @@
     /// Nothing: the agent itself asks.
     Joining,
     /// The agent has a part in the group.
-    Standing(Standing),
+    Standing(Decisions),
 }
 
 /// The decided switches that an agent with a part in the group knows.
 #[message]
 #[derive(Copy, Eq, Hash)]
-pub struct Standing {
+pub struct Decisions {
     /// The map that was in force before.
     pub previous: Option<Switch>,
     /// The map in force.
@@ -155,7 +155,7 @@
     pub committed: Option<Switch>,
 }
 
-impl Standing {
+impl Decisions {
     /// Returns the switches in order.
     pub(crate) fn decided(&self) -> impl Iterator<Item = Switch> + use<> {
         let all = [self.previous, Some(self.current), self.committed];
--- a/crates/switch/src/proposal.rs
+++ b/crates/switch/src/proposal.rs
@@ -33,7 +33,7 @@
     /// Returns the step before the switch, at which the ranks wait until they
     /// know the outcome.
     #[must_use]
-    pub const fn hold(&self) -> Step {
+    pub const fn hold_step(&self) -> Step {
         Step(self.switch.from.0 - 1)
     }
 }
--- a/crates/switch/src/rank.rs
+++ b/crates/switch/src/rank.rs
@@ -16,7 +16,7 @@
 use cactusnotch_order::Sender;
 
 use crate::ballot::Ballot;
-use crate::engine::{Expert, State, Wish};
+use crate::engine::{Action, Expert, State};
 use crate::map::{Map, Switch};
 use crate::message::{Body, Message, Peer, Report, Verdict};
 use crate::options::Options;
@@ -44,7 +44,7 @@
         founds: bool,
     },
     /// A part in the group.
-    Standing,
+    Active,
     /// Replaced, or its engine is gone: does nothing any more.
     Retired,
 }
@@ -86,11 +86,11 @@
     phase: Phase,
     view: View,
     incarnation: Incarnation,
-    sender: Option<Sender<Wish>>,
+    sender: Option<Sender<Action>>,
     engine: Option<State>,
     /// The map that was in force before `current`.
     previous: Option<Switch>,
-    /// The map in force; set once the phase is `Standing`.
+    /// The map in force; set once the phase is `Active`.
     current: Switch,
     open: Open,
     prepared: Option<Prepared>,
@@ -165,7 +165,7 @@
     /// Returns the map in force, once the rank has a part in the group.
     #[must_use]
     pub fn current(&self) -> Option<Switch> {
-        (self.phase == Phase::Standing).then_some(self.current)
+        (self.phase == Phase::Active).then_some(self.current)
     }
 
     /// Returns the proposal on which the rank has promised and whose outcome
@@ -187,7 +187,7 @@
     /// Tells whether the part waits for nothing but new proposals.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        let done = self.phase == Phase::Standing && self.open == Open::Nothing;
+        let done = self.phase == Phase::Active && self.open == Open::Nothing;
         let sender = self.sender.as_ref();
         let loaded = self.prepared.as_ref().is_none_or(|prepared| prepared.ready);
         self.is_retired() || done && loaded && sender.is_none_or(Sender::is_idle)
@@ -198,7 +198,7 @@
             Phase::Enrolling { .. } => self.enrol(out),
             Phase::Recovering => {}
             Phase::Joining { .. } => self.ask_reports(out),
-            Phase::Standing => self.ask_outcome(out),
+            Phase::Active => self.ask_outcome(out),
             Phase::Retired => return,
         }
         self.wake_sender(now, out);
@@ -266,7 +266,7 @@
         now: Instant,
         out: &mut Vec<Command>,
     ) {
-        if self.phase != Phase::Standing {
+        if self.phase != Phase::Active {
             return;
         }
         match message.body {
--- a/crates/switch/src/rank/engine.rs
+++ b/crates/switch/src/rank/engine.rs
@@ -5,13 +5,18 @@
 use cactusnotch_order::{Answer, Command as OrderCommand, Event as OrderEvent, Sender, Settlement};
 
 use super::{Command, Member, Open, Phase, Retirement};
-use crate::engine::{Expert, State, Wish};
+use crate::engine::{Action, Expert, State};
 use crate::map::{Map, Switch};
 use crate::message::{Body, Peer, Reason};
 
 impl Member {
     /// Hands an event to the sender of orders and acts on what it settles.
-    pub(super) fn order(&mut self, event: OrderEvent<Wish>, now: Instant, out: &mut Vec<Command>) {
+    pub(super) fn order(
+        &mut self,
+        event: OrderEvent<Action>,
+        now: Instant,
+        out: &mut Vec<Command>,
+    ) {
         let Some(sender) = &mut self.sender else {
             return;
         };
@@ -35,15 +40,15 @@
         self.order(event, now, out);
     }
 
-    fn settled(&mut self, wish: Wish, how: Settlement, now: Instant, out: &mut Vec<Command>) {
+    fn settled(&mut self, wish: Action, how: Settlement, now: Instant, out: &mut Vec<Command>) {
         if how == Settlement::Superseded {
             self.retire(Retirement::Replaced, out);
             return;
         }
-        let (Wish::Hold(step), Open::Holding(proposal)) = (wish, &self.open) else {
+        let (Action::Hold(step), Open::Holding(proposal)) = (wish, &self.open) else {
             return;
         };
-        let (id, hold) = (proposal.id, proposal.hold());
+        let (id, hold) = (proposal.id, proposal.hold_step());
         match how {
             _ if step != hold => {}
             Settlement::Done => self.held(now, out),
@@ -77,7 +82,7 @@
         self.order(event, now, out);
         match self.phase {
             Phase::Recovering => self.recover(now, out),
-            Phase::Standing => self.pursue(now, out),
+            Phase::Active => self.pursue(now, out),
             _ => {}
         }
     }
@@ -99,7 +104,7 @@
     /// released: a rank that starts the step before a switch thereby tells
     /// all others that it will use the new map.
     pub(super) fn pursue(&mut self, now: Instant, out: &mut Vec<Command>) {
-        if self.phase != Phase::Standing {
+        if self.phase != Phase::Active {
             return;
         }
         self.note_in_force(now, out);
@@ -139,7 +144,7 @@
         let spare = engine.experts.iter().copied();
         let spare: Vec<Expert> = spare.filter(|expert| !needed.contains(expert)).collect();
         for expert in spare {
-            self.order(OrderEvent::Want(Wish::Unload(expert)), now, out);
+            self.order(OrderEvent::Want(Action::Unload(expert)), now, out);
         }
     }
 
@@ -167,7 +172,7 @@
         if let Some(next) = next
             && self.load(next.map, engine, now, out)
         {
-            self.order(OrderEvent::Want(Wish::Use(next)), now, out);
+            self.order(OrderEvent::Want(Action::Use(next)), now, out);
         }
         false
     }
@@ -182,7 +187,7 @@
         let lacking = |expert: &&Expert| !engine.experts.contains(expert) || self.moves(**expert);
         let lacking: Vec<Expert> = experts.iter().filter(lacking).copied().collect();
         for expert in &lacking {
-            self.order(OrderEvent::Want(Wish::Load(*expert)), now, out);
+            self.order(OrderEvent::Want(Action::Load(*expert)), now, out);
         }
         lacking.is_empty()
     }
@@ -191,7 +196,7 @@
     /// that the engine's state does not tell whether it stays loaded.
     fn moves(&self, expert: Expert) -> bool {
         let mut wants = self.sender.iter().flat_map(Sender::wants);
-        wants.any(|wish| matches!(wish, Wish::Load(own) | Wish::Unload(own) if *own == expert))
+        wants.any(|wish| matches!(wish, Action::Load(own) | Action::Unload(own) if *own == expert))
     }
 
     /// Drops the experts that neither the map in force nor `map` needs, if
@@ -211,7 +216,7 @@
         let loaded = engine.experts.iter().copied();
         let unused: Vec<Expert> = loaded.filter(|expert| !is_needed(expert)).collect();
         for expert in unused {
-            self.order(OrderEvent::Want(Wish::Unload(expert)), now, out);
+            self.order(OrderEvent::Want(Action::Unload(expert)), now, out);
         }
     }
 
@@ -237,7 +242,7 @@
     /// Holds the step of the proposal at hand and releases all others.
     fn settle_holds(&mut self, engine: &State, now: Instant, out: &mut Vec<Command>) {
         let hold = match &self.open {
-            Open::Holding(proposal) | Open::Promised { proposal, .. } => Some(proposal.hold()),
+            Open::Holding(proposal) | Open::Promised { proposal, .. } => Some(proposal.hold_step()),
             _ => None,
         };
         for step in self
@@ -245,10 +250,10 @@
             .into_iter()
             .filter(|step| Some(*step) != hold)
         {
-            self.order(OrderEvent::Want(Wish::Release(step)), now, out);
+            self.order(OrderEvent::Want(Action::Release(step)), now, out);
         }
         if let (Some(step), Open::Holding(_)) = (hold, &self.open) {
-            self.order(OrderEvent::Want(Wish::Hold(step)), now, out);
+            self.order(OrderEvent::Want(Action::Hold(step)), now, out);
         }
     }
 
@@ -257,7 +262,7 @@
         let mut steps = engine.holds.clone();
         let wants = self.sender.iter().flat_map(Sender::wants);
         steps.extend(wants.filter_map(|wish| match wish {
-            Wish::Hold(step) => Some(*step),
+            Action::Hold(step) => Some(*step),
             _ => None,
         }));
         steps
--- a/crates/switch/src/rank/enrol.rs
+++ b/crates/switch/src/rank/enrol.rs
@@ -8,7 +8,7 @@
 use cactusnotch_order::{Event as OrderEvent, Sender};
 
 use super::{Command, Member, Open, Phase, Retirement};
-use crate::engine::Wish;
+use crate::engine::Action;
 use crate::view::View;
 
 /// Over how many retry times the ranks that race for the group's object spread.
@@ -97,7 +97,7 @@
         self.phase = Phase::Recovering;
         let sender = Sender::new(self.options.orders, self.incarnation, takeover, now);
         self.sender = Some(sender);
-        self.order(OrderEvent::Want(Wish::Release(0.into())), now, out);
+        self.order(OrderEvent::Want(Action::Release(0.into())), now, out);
         self.order(OrderEvent::Refresh, now, out);
     }
 
@@ -110,8 +110,8 @@
         let Some(engine) = &self.engine else {
             return;
         };
-        if !engine.started && !engine.is_fresh() {
-            let hold = Wish::Hold(engine.next);
+        if !engine.started && !engine.is_awaiting_start() {
+            let hold = Action::Hold(engine.next);
             self.order(OrderEvent::Want(hold), now, out);
             return;
         }
--- a/crates/switch/src/rank/event.rs
+++ b/crates/switch/src/rank/event.rs
@@ -7,7 +7,7 @@
 use cactusnotch_objects::object::Version;
 use cactusnotch_order::{Answer, Order};
 
-use crate::engine::{Expert, State, Wish};
+use crate::engine::{Action, Expert, State};
 use crate::map::{Map, Switch};
 use crate::message::{Message, Peer};
 use crate::proposal::Id;
@@ -68,7 +68,7 @@
     /// if it has no seat any more.
     Reply(Message),
     /// Send an order to the engine.
-    Order(Order<Wish>),
+    Order(Order<Action>),
     /// Read the engine's state and answer with this number.
     ReadEngine(Fence),
     /// Bring [`Event::Wake`] after this time. Of several, the shortest counts,
--- a/crates/switch/src/rank/join.rs
+++ b/crates/switch/src/rank/join.rs
@@ -5,7 +5,7 @@
 
 use super::{Command, Member, Open, Phase, Retirement};
 use crate::map::Switch;
-use crate::message::{Body, Peer, Report, Standing};
+use crate::message::{Body, Decisions, Peer, Report};
 use crate::view::{Rank, View};
 
 /// The rank that starts a generation at once; the others, after a retry time.
@@ -63,7 +63,7 @@
     fn standing(&self) -> Report {
         let known = match &self.phase {
             Phase::Joining { .. } => self.recovered(),
-            Phase::Standing => true,
+            Phase::Active => true,
             _ => false,
         };
         if !known {
@@ -73,7 +73,7 @@
             Open::Committed { switch, .. } => Some(*switch),
             _ => None,
         };
-        Report::Standing(Standing {
+        Report::Standing(Decisions {
             previous: self.previous,
             current: self.current,
             committed,
@@ -119,7 +119,7 @@
             }
             return;
         }
-        let mut decided: Vec<Switch> = standings.iter().flat_map(Standing::decided).collect();
+        let mut decided: Vec<Switch> = standings.iter().flat_map(Decisions::decided).collect();
         decided.sort_unstable();
         decided.dedup();
         let in_force = standings.iter().map(|standing| standing.current).max();
@@ -133,12 +133,12 @@
             },
             None => Open::Nothing,
         };
-        self.phase = Phase::Standing;
+        self.phase = Phase::Active;
         self.pursue(now, out);
     }
 
     /// Returns what each standing member knows, if every rank has reported.
-    fn standings(&self) -> Option<Vec<Standing>> {
+    fn standings(&self) -> Option<Vec<Decisions>> {
         let Phase::Joining { reports, .. } = &self.phase else {
             return None;
         };
@@ -181,7 +181,7 @@
         self.previous = None;
         self.current = self.view.base;
         self.open = Open::Nothing;
-        self.phase = Phase::Standing;
+        self.phase = Phase::Active;
         for rank in self.others().filter(|_| founds) {
             self.tell(Peer::Rank(rank), Body::View(self.view.clone()), out);
         }
--- a/crates/switch/src/rank/outcome.rs
+++ b/crates/switch/src/rank/outcome.rs
@@ -38,7 +38,7 @@
         now: Instant,
         out: &mut Vec<Command>,
     ) {
-        if self.phase != Phase::Standing {
+        if self.phase != Phase::Active {
             return;
         }
         match &self.open {
@@ -56,7 +56,7 @@
     }
 
     pub(super) fn answer(&self, to: Peer, proposal: &Proposal, out: &mut Vec<Command>) {
-        if self.phase != Phase::Standing {
+        if self.phase != Phase::Active {
             return;
         }
         let undecided = proposal.id > self.highest && proposal.view == self.view.number;
@@ -173,7 +173,7 @@
         let query = Body::Query {
             proposal: *proposal,
             ballot: ballot.clone(),
-            urgent: self.waits_at(proposal.hold()),
+            urgent: self.waits_at(proposal.hold_step()),
         };
         let coordinator = Peer::Coordinator(proposal.id.fence);
         self.tell(coordinator, query.clone(), out);
--- a/crates/switch/src/rank/promise.rs
+++ b/crates/switch/src/rank/promise.rs
@@ -68,8 +68,8 @@
             Some(Reason::Epoch(self.current))
         } else if !self.prepared.as_ref().is_some_and(ready) {
             Some(Reason::Unprepared)
-        } else if proposal.hold() <= self.last_hold
-            || engine.is_none_or(|engine| engine.next > proposal.hold())
+        } else if proposal.hold_step() <= self.last_hold
+            || engine.is_none_or(|engine| engine.next > proposal.hold_step())
         {
             Some(Reason::Late)
         } else {
@@ -79,7 +79,7 @@
 
     fn hold(&mut self, proposal: &Proposal, now: Instant, out: &mut Vec<Command>) {
         self.highest = proposal.id;
-        self.last_hold = proposal.hold();
+        self.last_hold = proposal.hold_step();
         self.open = Open::Holding(*proposal);
         self.pursue(now, out);
         self.sleep(out);
--- a/crates/switch/tests/explore.rs
+++ b/crates/switch/tests/explore.rs
@@ -25,7 +25,7 @@
     world.boot(1);
     let first = world.start_coordinator(options);
     world.settle();
-    world.coordinator(first, coordinator::Event::Want { digest: 1 });
+    world.coordinator(first, coordinator::Event::SwitchTo { digest: 1 });
     world.cap = 3;
     world
 }
@@ -82,7 +82,7 @@
     world.now += options().lease;
     world.coordinator(second, coordinator::Event::Wake);
     world.settle();
-    world.coordinator(second, coordinator::Event::Want { digest: 2 });
+    world.coordinator(second, coordinator::Event::SwitchTo { digest: 2 });
     for _ in 0..2 {
         let packet = world.net.remove(0);
         world.deliver(packet.get().clone());
--- a/crates/switch/tests/larger.rs
+++ b/crates/switch/tests/larger.rs
@@ -107,7 +107,7 @@
             self.digest += 1;
             let digest = self.digest;
             self.world
-                .coordinator(0, coordinator::Event::Want { digest });
+                .coordinator(0, coordinator::Event::SwitchTo { digest });
         }
     }
 
--- a/crates/switch/tests/world/engine.rs
+++ b/crates/switch/tests/world/engine.rs
@@ -2,7 +2,7 @@
 
 use cactusnotch_base::number::{Fence, Step};
 use cactusnotch_order::{Answer, Fencing, Order, Reply};
-use cactusnotch_switch::engine::{State, Wish};
+use cactusnotch_switch::engine::{Action, State};
 use cactusnotch_switch::map::Map;
 
 #[derive(Debug, Clone, Hash)]
@@ -31,7 +31,7 @@
         }
     }
 
-    pub fn order(&mut self, order: &Order<Wish>) -> Answer<State> {
+    pub fn order(&mut self, order: &Order<Action>) -> Answer<State> {
         let reply = if self.checks && order.fence < self.fence {
             Reply::Fenced
         } else {
@@ -50,19 +50,19 @@
         }
     }
 
-    fn apply(&mut self, wish: Wish) -> Reply {
+    fn apply(&mut self, wish: Action) -> Reply {
         let state = &mut self.state;
         match wish {
-            Wish::Hold(step) if state.next > step => return Reply::Refused,
-            Wish::Hold(step) if !state.holds.contains(&step) => state.holds.push(step),
-            Wish::Release(step) => state.holds.retain(|held| *held != step),
-            Wish::Use(set) => {
+            Action::Hold(step) if state.next > step => return Reply::Refused,
+            Action::Hold(step) if !state.holds.contains(&step) => state.holds.push(step),
+            Action::Release(step) => state.holds.retain(|held| *held != step),
+            Action::Use(set) => {
                 state.plan.retain(|other| other.from < set.from);
                 state.plan.push(set);
             }
-            Wish::Load(expert) => state.experts.push(expert),
-            Wish::Unload(expert) => state.experts.retain(|other| *other != expert),
-            Wish::Hold(_) => {}
+            Action::Load(expert) => state.experts.push(expert),
+            Action::Unload(expert) => state.experts.retain(|other| *other != expert),
+            Action::Hold(_) => {}
         }
         Reply::Taken
     }
--- a/crates/switch/tests/world/obey.rs
+++ b/crates/switch/tests/world/obey.rs
@@ -142,7 +142,7 @@
             }
             Command::Ended(ending) => self.endings.push(ending),
             Command::Wake(after) => self.note_wake(Sender::Coordinator(index), after),
-            Command::Superseded => {}
+            Command::LeaseLost => {}
         }
     }
 
--- a/crates/switch/tests/world/part.rs
+++ b/crates/switch/tests/world/part.rs
@@ -5,7 +5,7 @@
 
 use cactusnotch_base::number::Fence;
 use cactusnotch_order::{Answer, Order};
-use cactusnotch_switch::engine::{State, Wish};
+use cactusnotch_switch::engine::{Action, State};
 use cactusnotch_switch::{Message, coordinator, rank};
 use xxhash_rust::xxh3::Xxh3;
 
@@ -46,7 +46,7 @@
     Agent(usize, rank::Event),
     Message(usize, Sender, Message),
     Coordinator(usize, coordinator::Event),
-    Order(usize, Order<Wish>),
+    Order(usize, Order<Action>),
     Read(usize, Fence),
     Answer(usize, Answer<State>),
 }
