--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -5,7 +5,7 @@
 
 use cactusnotch_base::Clock;
 use cactusnotch_base::name::{Group, Process};
-use cactusnotch_group::{Driver, Options, Planning, Post, Status};
+use cactusnotch_group::{Driver, Options, Planning, Status, Transport};
 use cactusnotch_node::{Node, View};
 use cactusnotch_placement::{self as placement, Budget, Weights};
 use cactusnotch_popularity::Shape;
@@ -63,8 +63,8 @@
     }
 }
 
-impl<C: Clock> Post for Route<C> {
-    fn post(&self, to: &Process, message: Message) {
+impl<C: Clock> Transport for Route<C> {
+    fn send(&self, to: &Process, message: Message) {
         self.node.send(to, Body::Group(message));
     }
 }
--- a/crates/group/src/coordination.rs
+++ b/crates/group/src/coordination.rs
@@ -12,7 +12,7 @@
 use crate::input::{Asker, Input};
 use crate::membership::{Membership, deliver, life};
 use crate::planning::Plans;
-use crate::{Post, Status};
+use crate::{Status, Transport};
 
 /// The coordinator's part, with the planner beside it.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
 }
 
 impl Coordination {
-    pub(crate) fn new<P: Post, C: Clock>(context: &Context<P, C>) -> Self {
+    pub(crate) fn new<P: Transport, C: Clock>(context: &Context<P, C>) -> Self {
         let options = &context.options;
         Self {
             coordinator: Coordinator::new(life(options), options.switch),
@@ -42,7 +42,7 @@
         }
     }
 
-    pub(crate) fn start<P: Post, C: Clock>(&mut self, context: &Context<P, C>) {
+    pub(crate) fn start<P: Transport, C: Clock>(&mut self, context: &Context<P, C>) {
         self.step(context, Event::Start);
     }
 
@@ -57,7 +57,7 @@
         status.given_up = self.given_up;
     }
 
-    pub(crate) fn tick<P: Post, C: Clock>(
+    pub(crate) fn tick<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         membership: &Membership,
@@ -81,7 +81,7 @@
     }
 
     /// Takes in what a rank reports of its steps.
-    pub(crate) fn observe<P: Post, C: Clock>(
+    pub(crate) fn observe<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         reports: &[Report],
@@ -89,7 +89,7 @@
         self.plans.observe(reports, context.clock.now());
     }
 
-    pub(crate) fn received<P: Post, C: Clock>(
+    pub(crate) fn received<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         message: Message,
@@ -97,7 +97,7 @@
         self.step(context, Event::Message(message));
     }
 
-    pub(crate) fn group_read<P: Post, C: Clock>(
+    pub(crate) fn group_read<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         version: Version,
@@ -106,7 +106,7 @@
         self.step(context, Event::Group { version, view });
     }
 
-    pub(crate) fn lease_read<P: Post, C: Clock>(
+    pub(crate) fn lease_read<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         lease: Option<(Version, Lease)>,
@@ -114,18 +114,18 @@
         self.step(context, Event::Lease(lease));
     }
 
-    pub(crate) fn recorded<P: Post, C: Clock>(&mut self, context: &Context<P, C>, map: Map) {
+    pub(crate) fn recorded<P: Transport, C: Clock>(&mut self, context: &Context<P, C>, map: Map) {
         self.step(context, Event::MapRecorded(map));
     }
 
-    fn step<P: Post, C: Clock>(&mut self, context: &Context<P, C>, event: Event) {
+    fn step<P: Transport, C: Clock>(&mut self, context: &Context<P, C>, event: Event) {
         let now = context.clock.now();
         for command in self.coordinator.step(event, now) {
             self.carry_out(context, command, now);
         }
     }
 
-    fn carry_out<P: Post, C: Clock>(
+    fn carry_out<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         command: Command,
@@ -164,7 +164,7 @@
         }
     }
 
-    fn record<P: Post, C: Clock>(&self, context: &Context<P, C>, map: Map) {
+    fn record<P: Transport, C: Clock>(&self, context: &Context<P, C>, map: Map) {
         let Some(placed) = self.wanted.get(&map.digest).cloned() else {
             return;
         };
--- a/crates/group/src/driver.rs
+++ b/crates/group/src/driver.rs
@@ -17,7 +17,7 @@
 use crate::input::{Asker, Input};
 use crate::membership::Membership;
 use crate::objects::Objects;
-use crate::{Options, Post, Status};
+use crate::{Options, Status, Transport};
 
 /// The inputs that may wait.
 const WAITING: usize = 1024;
@@ -38,7 +38,7 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Context<P, C> {
     pub(crate) options: Options,
-    pub(crate) post: P,
+    pub(crate) transport: P,
     pub(crate) clock: C,
     pub(crate) objects: Objects,
     pub(crate) engine: Engine,
@@ -48,7 +48,7 @@
 impl Driver {
     /// Starts the part beside a rank on the current tokio runtime.
     #[must_use]
-    pub fn start<P: Post, C: Clock>(options: Options, post: P, clock: C) -> Self {
+    pub fn start<P: Transport, C: Clock>(options: Options, transport: P, clock: C) -> Self {
         let (inputs, receiver) = mpsc::channel(WAITING);
         let store = Client::new(&options.platform);
         let first = spread(options.size, options.shape);
@@ -56,7 +56,7 @@
             objects: Objects::new(store, options.group.clone(), options.size, first),
             engine: Engine::new(&options.engine),
             inputs: inputs.clone(),
-            post,
+            transport,
             clock,
             options,
         };
@@ -105,7 +105,7 @@
     }
 }
 
-impl<P: Post, C: Clock> Context<P, C> {
+impl<P: Transport, C: Clock> Context<P, C> {
     /// Makes a blocking call on a thread of its own, and takes its result in
     /// if there is one.
     pub(crate) fn call(
@@ -124,11 +124,11 @@
 
     pub(crate) fn send(&self, to: &Process, body: Body) {
         let group = self.options.group.clone();
-        self.post.post(to, Message { group, body });
+        self.transport.send(to, Message { group, body });
     }
 }
 
-async fn run<P: Post, C: Clock>(
+async fn run<P: Transport, C: Clock>(
     context: Context<P, C>,
     mut receiver: mpsc::Receiver<Input>,
     status: Arc<Mutex<Status>>,
@@ -164,7 +164,7 @@
     }
 }
 
-fn dispatch<P: Post, C: Clock>(
+fn dispatch<P: Transport, C: Clock>(
     context: &Context<P, C>,
     input: Input,
     membership: &mut Membership,
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Driver`] carries out what the agreement ([`cactusnotch_switch`]) and the
 //! planner ([`cactusnotch_placement`]) decide: it orders the rank's engine,
 //! keeps the group's objects in the platform and talks to the agents of the
-//! other ranks through [`Post`].
+//! other ranks through [`Transport`].
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -15,10 +15,10 @@
 mod objects;
 mod options;
 mod planning;
-mod post;
 mod status;
+mod transport;
 
 pub use driver::Driver;
 pub use options::{Options, Planning};
-pub use post::Post;
 pub use status::Status;
+pub use transport::Transport;
--- a/crates/group/src/membership.rs
+++ b/crates/group/src/membership.rs
@@ -14,7 +14,7 @@
 use cactusnotch_telemetry::metric;
 use cactusnotch_wire::group::Body;
 
-use crate::Post;
+use crate::Transport;
 use crate::driver::{CANDIDATES, Context};
 use crate::input::{Asker, Input};
 
@@ -39,7 +39,7 @@
 }
 
 impl Membership {
-    pub(crate) fn new<P: Post, C: Clock>(context: &Context<P, C>) -> Self {
+    pub(crate) fn new<P: Transport, C: Clock>(context: &Context<P, C>) -> Self {
         Self {
             member: member(context),
             wake: None,
@@ -51,7 +51,7 @@
         }
     }
 
-    pub(crate) fn start<P: Post, C: Clock>(&mut self, context: &Context<P, C>) {
+    pub(crate) fn start<P: Transport, C: Clock>(&mut self, context: &Context<P, C>) {
         self.step(context, Event::Start);
     }
 
@@ -75,7 +75,7 @@
         seats.map(|seat| seat.as_ref().map(|seat| place(&seat.process)))
     }
 
-    pub(crate) fn tick<P: Post, C: Clock>(&mut self, context: &Context<P, C>) {
+    pub(crate) fn tick<P: Transport, C: Clock>(&mut self, context: &Context<P, C>) {
         let now = context.clock.now();
         if self.wake.is_some_and(|wake| wake <= now) {
             self.wake = None;
@@ -90,7 +90,7 @@
     }
 
     /// Reads the placed of the map in force unless it is known.
-    fn read_current<P: Post, C: Clock>(&self, context: &Context<P, C>) {
+    fn read_current<P: Transport, C: Clock>(&self, context: &Context<P, C>) {
         let unknown = self
             .current()
             .map(|current| current.map)
@@ -115,7 +115,7 @@
         }
     }
 
-    pub(crate) fn received<P: Post, C: Clock>(
+    pub(crate) fn received<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         message: Message,
@@ -123,7 +123,7 @@
         self.step(context, Event::Message(message));
     }
 
-    pub(crate) fn group_read<P: Post, C: Clock>(
+    pub(crate) fn group_read<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         version: Version,
@@ -132,7 +132,7 @@
         self.step(context, Event::Group { version, view });
     }
 
-    pub(crate) fn content_read<P: Post, C: Clock>(
+    pub(crate) fn content_read<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         map: Map,
@@ -153,7 +153,7 @@
         }
     }
 
-    pub(crate) fn engine_answered<P: Post, C: Clock>(
+    pub(crate) fn engine_answered<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         answer: Answer<State>,
@@ -162,7 +162,7 @@
     }
 
     /// Passes the rank's reports on to the agents that may coordinate.
-    pub(crate) fn reported<P: Post, C: Clock>(
+    pub(crate) fn reported<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         reports: &[Report],
@@ -176,14 +176,14 @@
         }
     }
 
-    fn step<P: Post, C: Clock>(&mut self, context: &Context<P, C>, event: Event) {
+    fn step<P: Transport, C: Clock>(&mut self, context: &Context<P, C>, event: Event) {
         let now = context.clock.now();
         for command in self.member.step(event, now) {
             self.carry_out(context, command, now);
         }
     }
 
-    fn carry_out<P: Post, C: Clock>(
+    fn carry_out<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         command: Command,
@@ -232,7 +232,7 @@
         }
     }
 
-    fn read_map<P: Post, C: Clock>(&self, context: &Context<P, C>, map: Map) {
+    fn read_map<P: Transport, C: Clock>(&self, context: &Context<P, C>, map: Map) {
         let known = self.contents.get(&map).cloned();
         context.call(move |objects, _| {
             let placed = known.or_else(|| objects.read_map(map))?;
@@ -243,7 +243,7 @@
         });
     }
 
-    fn send<P: Post, C: Clock>(&self, context: &Context<P, C>, to: Peer, message: Message) {
+    fn send<P: Transport, C: Clock>(&self, context: &Context<P, C>, to: Peer, message: Message) {
         let process = match to {
             Peer::Rank(rank) => self.seat(rank),
             Peer::Coordinator(fence) => self.coordinators.get(&fence).cloned(),
@@ -259,7 +259,7 @@
         Some(place(&seat.process))
     }
 
-    fn retire<P: Post, C: Clock>(&mut self, context: &Context<P, C>, retirement: Retirement) {
+    fn retire<P: Transport, C: Clock>(&mut self, context: &Context<P, C>, retirement: Retirement) {
         tracing::warn!(?retirement, "part in the group ended");
         if retirement == Retirement::EngineLost {
             self.member = member(context);
@@ -271,7 +271,11 @@
 }
 
 /// Sends a message of the agreement, to the own process as well.
-pub(crate) fn deliver<P: Post, C: Clock>(context: &Context<P, C>, to: &Process, message: Message) {
+pub(crate) fn deliver<P: Transport, C: Clock>(
+    context: &Context<P, C>,
+    to: &Process,
+    message: Message,
+) {
     let body = Body::Switch(message);
     if *to == context.options.process {
         let from = to.clone();
--- a/crates/group/src/post.rs
+++ b/crates/group/src/transport.rs
@@ -4,7 +4,7 @@
 use cactusnotch_wire::group::Message;
 
 /// The way to the agents of other ranks. Messages may be lost.
-pub trait Post: Clone + Send + Sync + 'static {
+pub trait Transport: Clone + Send + Sync + 'static {
     /// Sends a message to a process, or drops it.
-    fn post(&self, to: &Process, message: Message);
+    fn send(&self, to: &Process, message: Message);
 }
--- a/crates/order/src/model.rs
+++ b/crates/order/src/model.rs
@@ -9,7 +9,7 @@
 #[message]
 #[derive(Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
-pub enum Wish {
+pub enum Requirement {
     /// A version of a model is loaded.
     Version {
         /// The model.
@@ -59,26 +59,26 @@
     /// The role of the engine.
     pub role: Role,
     /// What the engine is at work on.
-    pub underway: Vec<Wish>,
+    pub underway: Vec<Requirement>,
     /// What the engine has tried and cannot do.
-    pub failed: Vec<Wish>,
+    pub failed: Vec<Requirement>,
 }
 
 impl State {
-    fn has(&self, wish: &Wish) -> bool {
+    fn has(&self, wish: &Requirement) -> bool {
         let loaded = |list: &[(Model, String)], model: &Model, name: &String| {
             list.iter().any(|(m, n)| m == model && n == name)
         };
         match wish {
-            Wish::Version { model, version } => loaded(&self.versions, model, version),
-            Wish::Adapter { model, adapter } => loaded(&self.adapters, model, adapter),
-            Wish::NoAdapter { model, adapter } => !loaded(&self.adapters, model, adapter),
-            Wish::Role(role) => self.role == *role,
+            Requirement::Version { model, version } => loaded(&self.versions, model, version),
+            Requirement::Adapter { model, adapter } => loaded(&self.adapters, model, adapter),
+            Requirement::NoAdapter { model, adapter } => !loaded(&self.adapters, model, adapter),
+            Requirement::Role(role) => self.role == *role,
         }
     }
 }
 
-impl Wanted for Wish {
+impl Wanted for Requirement {
     type State = State;
 
     fn supersedes(&self, other: &Self) -> bool {
--- a/crates/order/src/sender.rs
+++ b/crates/order/src/sender.rs
@@ -149,7 +149,7 @@
     }
 
     /// Returns the states that are wanted and not settled, oldest first.
-    pub fn wants(&self) -> impl Iterator<Item = &W> {
+    pub fn pending(&self) -> impl Iterator<Item = &W> {
         self.entries.iter().map(|entry| &entry.wanted)
     }
 
--- a/crates/rebalance/src/codec.rs
+++ b/crates/rebalance/src/codec.rs
@@ -49,31 +49,31 @@
 /// How a deployment's endpoints are asked and ordered.
 pub trait Codec: 'static {
     /// Writes the question for the endpoint's state.
-    fn ask_state() -> Request<Bytes>;
+    fn state_request() -> Request<Bytes>;
 
     /// Writes the question for its counts.
-    fn ask_counts() -> Request<Bytes>;
+    fn counts_request() -> Request<Bytes>;
 
     /// Writes the question for the experts that it holds.
-    fn ask_held() -> Request<Bytes>;
+    fn held_request() -> Request<Bytes>;
 
     /// Writes an order, which is to be refused if the endpoint has begun
     /// another number of orders than `sequence`, or lives in another epoch.
-    fn order(order: &Order, sequence: u64, epoch: u64) -> Request<Bytes>;
+    fn order_request(order: &Order, sequence: u64, epoch: u64) -> Request<Bytes>;
 
     /// Reads the endpoint's state.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with the answer.
-    fn state(body: &[u8]) -> Result<State, Unreadable>;
+    fn decode_state(body: &[u8]) -> Result<State, Unreadable>;
 
     /// Reads its counts.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with the answer.
-    fn counts(body: &[u8]) -> Result<Counts, Unreadable>;
+    fn decode_counts(body: &[u8]) -> Result<Counts, Unreadable>;
 
     /// Reads the experts that it holds in the map in force, by set, with the
     /// map's version.
@@ -81,5 +81,5 @@
     /// # Errors
     ///
     /// Returns what is wrong with the answer.
-    fn held(body: &[u8]) -> Result<(u64, Vec<Vec<u16>>), Unreadable>;
+    fn decode_held(body: &[u8]) -> Result<(u64, Vec<Vec<u16>>), Unreadable>;
 }
--- a/crates/rebalance/src/endpoint.rs
+++ b/crates/rebalance/src/endpoint.rs
@@ -73,18 +73,18 @@
     }
 
     pub(crate) async fn state(&mut self) -> Result<State, Error> {
-        let body = self.call(C::ask_state(), CALL_TIMEOUT).await?;
-        C::state(&body).map_err(Error::Unreadable)
+        let body = self.call(C::state_request(), CALL_TIMEOUT).await?;
+        C::decode_state(&body).map_err(Error::Unreadable)
     }
 
     pub(crate) async fn counts(&mut self) -> Result<Counts, Error> {
-        let body = self.call(C::ask_counts(), CALL_TIMEOUT).await?;
-        C::counts(&body).map_err(Error::Unreadable)
+        let body = self.call(C::counts_request(), CALL_TIMEOUT).await?;
+        C::decode_counts(&body).map_err(Error::Unreadable)
     }
 
     pub(crate) async fn held(&mut self) -> Result<(u64, Vec<Vec<u16>>), Error> {
-        let body = self.call(C::ask_held(), CALL_TIMEOUT).await?;
-        C::held(&body).map_err(Error::Unreadable)
+        let body = self.call(C::held_request(), CALL_TIMEOUT).await?;
+        C::decode_held(&body).map_err(Error::Unreadable)
     }
 
     pub(crate) async fn order(
@@ -93,7 +93,7 @@
         sequence: u64,
         epoch: u64,
     ) -> Result<(), Error> {
-        self.call(C::order(order, sequence, epoch), ORDER_TIMEOUT)
+        self.call(C::order_request(order, sequence, epoch), ORDER_TIMEOUT)
             .await
             .map(drop)
     }
--- a/crates/standins/src/engine/order.rs
+++ b/crates/standins/src/engine/order.rs
@@ -6,7 +6,7 @@
 use cactusnotch_base::name::Model;
 use cactusnotch_base::number::Fence;
 use cactusnotch_derive::message;
-use cactusnotch_order::model::{Role, State, Wish};
+use cactusnotch_order::model::{Requirement, Role, State};
 use cactusnotch_order::{Answer, Reply};
 
 use super::Options;
@@ -29,7 +29,7 @@
     pub fence: Fence,
     /// What the engine shall hold or be. Repeating an order changes nothing.
     #[serde(alias = "wanted")]
-    pub order: Wish,
+    pub order: Requirement,
 }
 
 /// What an engine serves, as the orders have left it.
@@ -95,27 +95,27 @@
         }
     }
 
-    fn begin(&mut self, wish: Wish, now: Instant) {
+    fn begin(&mut self, wish: Requirement, now: Instant) {
         if self.state.underway.contains(&wish) || self.has(&wish) {
             return;
         }
         self.state.failed.retain(|failed| *failed != wish);
         let time = match wish {
-            Wish::Version { .. } | Wish::Adapter { .. } => self.load_time,
-            Wish::NoAdapter { .. } | Wish::Role(_) => Duration::ZERO,
+            Requirement::Version { .. } | Requirement::Adapter { .. } => self.load_time,
+            Requirement::NoAdapter { .. } | Requirement::Role(_) => Duration::ZERO,
         };
         self.state.underway.push(wish);
         self.due.push(now + time);
     }
 
-    fn has(&self, wish: &Wish) -> bool {
+    fn has(&self, wish: &Requirement) -> bool {
         let has = |list: &[(Model, String)], model: &Model, name: &String| {
             list.iter().any(|(own, text)| own == model && text == name)
         };
         match wish {
-            Wish::Version { model, version } => has(&self.state.versions, model, version),
-            Wish::Adapter { model, adapter } => has(&self.state.adapters, model, adapter),
-            Wish::NoAdapter { .. } | Wish::Role(_) => false,
+            Requirement::Version { model, version } => has(&self.state.versions, model, version),
+            Requirement::Adapter { model, adapter } => has(&self.state.adapters, model, adapter),
+            Requirement::NoAdapter { .. } | Requirement::Role(_) => false,
         }
     }
 
@@ -128,23 +128,24 @@
         }
     }
 
-    fn end(&mut self, wish: Wish) {
+    fn end(&mut self, wish: Requirement) {
         let state = &mut self.state;
         match &wish {
-            Wish::Version { version: name, .. } | Wish::Adapter { adapter: name, .. }
+            Requirement::Version { version: name, .. }
+            | Requirement::Adapter { adapter: name, .. }
                 if self.broken.contains(name) =>
             {
                 state.failed.push(wish);
             }
-            Wish::Version { model, version } => {
+            Requirement::Version { model, version } => {
                 state.versions.retain(|(loaded, _)| loaded != model);
                 insert(&mut state.versions, model, version);
             }
-            Wish::Adapter { model, adapter } => insert(&mut state.adapters, model, adapter),
-            Wish::NoAdapter { model, adapter } => state
+            Requirement::Adapter { model, adapter } => insert(&mut state.adapters, model, adapter),
+            Requirement::NoAdapter { model, adapter } => state
                 .adapters
                 .retain(|(own, name)| own != model || name != adapter),
-            Wish::Role(role) => state.role = *role,
+            Requirement::Role(role) => state.role = *role,
         }
     }
 }
--- a/crates/switch/src/rank/engine.rs
+++ b/crates/switch/src/rank/engine.rs
@@ -190,7 +190,7 @@
     /// Tells whether an order to load or drop an expert is not settled, so
     /// that the engine's state does not tell whether it stays loaded.
     fn moves(&self, expert: Expert) -> bool {
-        let mut wants = self.sender.iter().flat_map(Sender::wants);
+        let mut wants = self.sender.iter().flat_map(Sender::pending);
         wants.any(|wish| matches!(wish, Wish::Load(own) | Wish::Unload(own) if *own == expert))
     }
 
@@ -255,7 +255,7 @@
     /// Returns the steps that are held, or may be by an order on its way.
     fn held_steps(&self, engine: &State) -> Vec<Step> {
         let mut steps = engine.holds.clone();
-        let wants = self.sender.iter().flat_map(Sender::wants);
+        let wants = self.sender.iter().flat_map(Sender::pending);
         steps.extend(wants.filter_map(|wish| match wish {
             Wish::Hold(step) => Some(*step),
             _ => None,
