--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -118,9 +118,7 @@
         tracing::info!(host = self.options.host, data_centre = self.options.data_centre, listen = %front, "entry started");
         let shared = Rc::new(SharedState::new(self.options));
         let (closing, closed) = watch::channel(false);
-        let followed = shared.options()
-            .evacuation_bound
-            .map(|_| Kind::Evacuations);
+        let followed = shared.options().evacuation_bound.map(|_| Kind::Evacuations);
         for kind in [Kind::Configuration, Kind::Endpoints]
             .into_iter()
             .chain(followed)
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -66,7 +66,8 @@
         }
     };
     let service = call.judged.service.clone();
-    shared.budgets
+    shared
+        .budgets
         .borrow_mut()
         .record_request(&service, arrived);
     let lifecycle = Lifecycle::new(
--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -6,15 +6,15 @@
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_telemetry::metric;
 
-use crate::peer;
+use super::SharedState;
 use crate::content::Fingerprint;
 use crate::journal::millis;
 use crate::notifications::Notification;
+use crate::peer;
 use crate::quarantine::{Crash, Verdict};
 use crate::record::Write;
 use crate::request::Call;
 use crate::store::QuarantineRecord;
-use super::SharedState;
 
 impl SharedState {
     /// Returns how long a request is held still, if it is. No request's content is worked
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -97,9 +97,7 @@
     store: &mut Store<C>,
     content: Fingerprint,
 ) -> Result<(), Error> {
-    let left = shared.quarantine
-        .borrow()
-        .time_left(content, clock::now());
+    let left = shared.quarantine.borrow().time_left(content, clock::now());
     // It may have been cleared meanwhile.
     let Some(left) = left else {
         return Ok(());
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -67,9 +67,7 @@
 pub(crate) async fn queries<D: Dialect>(shared: Rc<SharedState>, listener: TcpListener) {
     accept(listener, |stream| {
         let shared = Rc::clone(&shared);
-        answer(stream, move |request| {
-            answer_query::<D>(&shared, request)
-        })
+        answer(stream, move |request| answer_query::<D>(&shared, request))
     })
     .await;
 }
