--- a/crates/attempt/src/exchange.rs
+++ b/crates/attempt/src/exchange.rs
@@ -8,7 +8,7 @@
 use cactusnotch_ledger::{Age, Attempt, Holder, Request, Terms, Window};
 
 use crate::intake::Intake;
-use crate::{Answer, Budget, Command, Event, Options, Order, Reason, Way};
+use crate::{Answer, Budget, Command, Event, Mode, Options, Order, Reason};
 
 /// When a question to an agent is sent again, and when it is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -89,12 +89,12 @@
             options,
         };
         let mut commands = Vec::new();
-        match &exchange.order.way {
-            Way::Resume(holder) => {
+        match &exchange.order.mode {
+            Mode::Resume(holder) => {
                 exchange.holder = Some(holder.clone());
                 exchange.attach(now, &mut commands);
             }
-            Way::Private | Way::Claim | Way::Ticket(_) => exchange.choose(&mut commands),
+            Mode::Private | Mode::Claim | Mode::Ticket(_) => exchange.choose(&mut commands),
         }
         (exchange, commands)
     }
@@ -173,9 +173,9 @@
 
     pub(crate) fn choose(&mut self, commands: &mut Vec<Command>) {
         self.state = State::Routing;
-        let only = match &self.order.way {
-            Way::Ticket(terms) => Some(terms.endpoint.clone()),
-            Way::Private | Way::Claim | Way::Resume(_) => None,
+        let only = match &self.order.mode {
+            Mode::Ticket(terms) => Some(terms.endpoint.clone()),
+            Mode::Private | Mode::Claim | Mode::Resume(_) => None,
         };
         commands.push(Command::Route {
             only,
@@ -196,9 +196,9 @@
         }
         let left = self.order.deadline.saturating_duration_since(heard);
         self.finish_by = terms.age.after(left);
-        let grant = match &self.order.way {
-            Way::Ticket(grant) => grant.clone(),
-            Way::Private | Way::Claim | Way::Resume(_) => terms.clone(),
+        let grant = match &self.order.mode {
+            Mode::Ticket(grant) => grant.clone(),
+            Mode::Private | Mode::Claim | Mode::Resume(_) => terms.clone(),
         };
         if (&grant.endpoint, grant.incarnation) != (&terms.endpoint, terms.incarnation) {
             return self.refuse(Outcome::Unknown, Reason::Replaced, commands);
@@ -213,7 +213,7 @@
         self.conversation = attempt;
         self.route = Some(terms);
         self.holder = Some(holder.clone());
-        if self.order.way != Way::Claim || self.order.repeat == Repeat::Idempotent {
+        if self.order.mode != Mode::Claim || self.order.repeat == Repeat::Idempotent {
             return self.dispatch(&holder, now, commands);
         }
         self.claim(&holder, now, commands);
@@ -235,9 +235,9 @@
     /// The agent of a ticket that cannot be reached may have run the request
     /// when it was sent before.
     fn unreached(&mut self, reason: Reason, commands: &mut Vec<Command>) {
-        let outcome = match self.order.way {
-            Way::Ticket(_) => Outcome::Unknown,
-            Way::Private | Way::Claim | Way::Resume(_) => Outcome::NotRun,
+        let outcome = match self.order.mode {
+            Mode::Ticket(_) => Outcome::Unknown,
+            Mode::Private | Mode::Claim | Mode::Resume(_) => Outcome::NotRun,
         };
         self.refuse(outcome, reason, commands);
     }
@@ -247,9 +247,9 @@
         if !dispatched || attempt != self.conversation {
             return;
         }
-        match self.order.way {
-            Way::Ticket(_) => self.unreached(Reason::Unsent, commands),
-            Way::Private | Way::Claim | Way::Resume(_) => {
+        match self.order.mode {
+            Mode::Ticket(_) => self.unreached(Reason::Unsent, commands),
+            Mode::Private | Mode::Claim | Mode::Resume(_) => {
                 self.dead(Reason::Unsent, budget, commands);
             }
         }
--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -25,4 +25,4 @@
 pub use event::Event;
 pub use exchange::Exchange;
 pub use options::Options;
-pub use order::{Order, Way};
+pub use order::{Mode, Order};
--- a/crates/attempt/src/order.rs
+++ b/crates/attempt/src/order.rs
@@ -7,7 +7,7 @@
 
 /// How it is known which agent may run a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum Mode {
     /// The entry made the key up, so that no other entry can know it.
     Private,
     /// The caller chose the key, and it is claimed before dispatch.
@@ -28,7 +28,7 @@
     /// Whether the request may run more than once.
     pub repeat: Repeat,
     /// How it is known which agent may run the request.
-    pub way: Way,
+    pub mode: Mode,
     /// A fresh name for the first conversation with an agent.
     pub conversation: Attempt,
     /// The last piece that the caller has; zero for none.
--- a/crates/attempt/src/recovery.rs
+++ b/crates/attempt/src/recovery.rs
@@ -8,7 +8,7 @@
 use cactusnotch_ledger::message::{Query, Repeat};
 
 use crate::exchange::{Exchange, Patience, State};
-use crate::{Budget, Command, Reason, Way};
+use crate::{Budget, Command, Mode, Reason};
 
 impl Exchange {
     /// Asks the holder's agent for the pieces that follow the last one.
@@ -65,7 +65,7 @@
     fn is_repeatable(&self) -> bool {
         self.order.repeat == Repeat::Idempotent
             && self.intake.last() == self.order.after
-            && !matches!(self.order.way, Way::Resume(_))
+            && !matches!(self.order.mode, Mode::Resume(_))
     }
 
     /// The agent does not say what became of the holder.
@@ -103,10 +103,10 @@
         commands: &mut Vec<Command>,
     ) {
         let ours = self.holds_itself();
-        let may_move = match self.order.way {
-            Way::Ticket(_) | Way::Resume(_) => false,
-            Way::Private | Way::Claim if ours => self.may_retry(budget),
-            Way::Private | Way::Claim => self.retries < self.options.retries,
+        let may_move = match self.order.mode {
+            Mode::Ticket(_) | Mode::Resume(_) => false,
+            Mode::Private | Mode::Claim if ours => self.may_retry(budget),
+            Mode::Private | Mode::Claim => self.retries < self.options.retries,
         };
         if !may_move {
             return self.refuse(Outcome::NotRun, reason, commands);
--- a/crates/attempt/tests/exchange.rs
+++ b/crates/attempt/tests/exchange.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cactusnotch_attempt::{Answer, Budget, Command, Event, Exchange, Options, Order, Reason, Way};
+use cactusnotch_attempt::{Answer, Budget, Command, Event, Exchange, Mode, Options, Order, Reason};
 use cactusnotch_base::Outcome;
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_base::number::{Incarnation, Sequence};
@@ -40,7 +40,7 @@
 }
 
 impl Entry {
-    fn new(repeat: Repeat, way: Way, retries: u32) -> Self {
+    fn new(repeat: Repeat, mode: Mode, retries: u32) -> Self {
         let now = clock::now();
         let order = Order {
             identity: Identity {
@@ -49,7 +49,7 @@
             },
             digest: 7,
             repeat,
-            way,
+            mode,
             conversation: attempt(0),
             after: Sequence(0),
             deadline: now + Duration::from_mins(1),
@@ -108,7 +108,7 @@
 
 #[test]
 fn idempotent_work_is_repeated_within_the_budget() {
-    let mut entry = Entry::new(Repeat::Idempotent, Way::Private, 1);
+    let mut entry = Entry::new(Repeat::Idempotent, Mode::Private, 1);
     entry.routed(1, "one");
     assert!(routes(&entry.timer()), "a silent agent costs one retry");
     entry.routed(2, "two");
@@ -118,7 +118,7 @@
 
 #[test]
 fn work_that_gave_pieces_is_not_repeated_elsewhere() {
-    let mut entry = Entry::new(Repeat::Idempotent, Way::Private, 1);
+    let mut entry = Entry::new(Repeat::Idempotent, Mode::Private, 1);
     entry.routed(1, "one");
     assert_eq!(entry.piece(1, 1).len(), 1);
     let lost = entry.step(Event::LinkLost("one".into()));
@@ -136,7 +136,7 @@
 
 #[test]
 fn pieces_pass_once_and_in_order_and_only_from_the_own_conversation() {
-    let mut entry = Entry::new(Repeat::Once, Way::Private, 0);
+    let mut entry = Entry::new(Repeat::Once, Mode::Private, 0);
     entry.routed(1, "one");
     let passed = [(1, 1), (1, 1), (9, 2), (1, 3), (1, 2), (1, 3)]
         .map(|(number, sequence)| entry.piece(number, sequence))
@@ -160,7 +160,7 @@
 
 #[test]
 fn answers_to_a_claim_count_once_and_in_time() {
-    let mut entry = Entry::new(Repeat::Once, Way::Claim, 0);
+    let mut entry = Entry::new(Repeat::Once, Mode::Claim, 0);
     entry.routed(1, "one");
     let answers = [
         (9, claim::Answer::Granted, 0),
@@ -173,7 +173,7 @@
         let commands = entry.step(Event::Claimed { attempt, answer });
         assert_eq!(commands.len(), sent);
     }
-    let mut entry = Entry::new(Repeat::Once, Way::Claim, 0);
+    let mut entry = Entry::new(Repeat::Once, Mode::Claim, 0);
     entry.routed(1, "one");
     let granted = Event::Claimed {
         attempt: attempt(1),
@@ -189,7 +189,7 @@
 
 #[test]
 fn non_idempotent_work_goes_elsewhere_only_after_a_tombstone() {
-    let mut entry = Entry::new(Repeat::Once, Way::Claim, 0);
+    let mut entry = Entry::new(Repeat::Once, Mode::Claim, 0);
     entry.routed(2, "one");
     let held = claim::Answer::Held(holder(1, "two"));
     let event = Event::Claimed {
@@ -214,7 +214,7 @@
 
 #[test]
 fn a_ticket_whose_agent_is_gone_is_unknown() {
-    let mut replaced = Entry::new(Repeat::Once, Way::Ticket(terms("one")), 0);
+    let mut replaced = Entry::new(Repeat::Once, Mode::Ticket(terms("one")), 0);
     let mut other = terms("one");
     other.incarnation = Incarnation(2);
     let event = Event::Routed {
@@ -224,14 +224,14 @@
     };
     let answer = told(&replaced.step(event));
     assert_eq!(answer, Some((Outcome::Unknown, Reason::Replaced)));
-    let mut gone = Entry::new(Repeat::Once, Way::Ticket(terms("one")), 0);
+    let mut gone = Entry::new(Repeat::Once, Mode::Ticket(terms("one")), 0);
     let answer = told(&gone.step(Event::Unroutable));
     assert_eq!(answer, Some((Outcome::Unknown, Reason::Unroutable)));
 }
 
 #[test]
 fn work_that_was_not_sent_did_not_run() {
-    let mut entry = Entry::new(Repeat::Once, Way::Private, 1);
+    let mut entry = Entry::new(Repeat::Once, Mode::Private, 1);
     entry.routed(1, "one");
     assert!(routes(&entry.step(Event::Unsent(attempt(1)))));
     entry.routed(2, "two");
@@ -242,7 +242,7 @@
 
 #[test]
 fn a_run_lasts_until_the_deadline_however_old_the_known_age() {
-    let mut entry = Entry::new(Repeat::Idempotent, Way::Private, 0);
+    let mut entry = Entry::new(Repeat::Idempotent, Mode::Private, 0);
     let heard = entry.now;
     entry.now += Duration::from_secs(1);
     let sent = entry.step(Event::Routed {
--- a/crates/attempt/tests/explore/world.rs
+++ b/crates/attempt/tests/explore/world.rs
@@ -3,7 +3,7 @@
 use std::hash::Hash;
 use std::time::Duration;
 
-use cactusnotch_attempt::{Answer, Budget, Event, Exchange, Options, Order, Way};
+use cactusnotch_attempt::{Answer, Budget, Event, Exchange, Mode, Options, Order};
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_base::name::Endpoint;
 use cactusnotch_base::number::{Incarnation, Sequence};
@@ -119,7 +119,7 @@
         let now = clock::now();
         let shard_options = claim::Options {
             window: Duration::ZERO,
-            patience: ms(30),
+            time_budget: ms(30),
             backoff: ms(10),
             ..claim::Options::default()
         };
@@ -188,10 +188,10 @@
             },
             digest: 7,
             repeat: self.setup.repeat,
-            way: if self.setup.ticket {
-                Way::Ticket(first)
+            mode: if self.setup.ticket {
+                Mode::Ticket(first)
             } else {
-                Way::Claim
+                Mode::Claim
             },
             conversation: Attempt(Uuid::nil()),
             after: Sequence(0),
--- a/crates/claim/src/kind.rs
+++ b/crates/claim/src/kind.rs
@@ -65,7 +65,7 @@
 
 /// How the agent that may run a request is found.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Way {
+pub enum Mode {
     /// The key is claimed.
     Claim,
     /// The ticket names the agent.
@@ -108,22 +108,22 @@
 ///
 /// The [`Refusal`] of a key that is forged, foreign, too old, or bare where
 /// bare keys are refused.
-pub fn way(
+pub fn mode(
     key: &Key,
     organisation: &Organisation,
     signer: &Signer,
     bare: Bare,
     options: &Options,
     wall: SystemTime,
-) -> Result<Way, Refusal> {
+) -> Result<Mode, Refusal> {
     match Kind::of(key) {
         Kind::Ticket => {
             let ticket = signer.check(key, organisation, crate::shard::milliseconds(wall))?;
-            Ok(Way::Ticket(ticket.terms))
+            Ok(Mode::Ticket(ticket.terms))
         }
         Kind::Timed(made) if made + options.lifetime <= wall => Err(Refusal::Stale),
         Kind::Timed(made) if made > wall + options.skew => Err(Refusal::Early),
         Kind::Bare if bare == Bare::Refuse => Err(Refusal::Bare),
-        Kind::Timed(_) | Kind::Bare => Ok(Way::Claim),
+        Kind::Timed(_) | Kind::Bare => Ok(Mode::Claim),
     }
 }
--- a/crates/claim/src/log.rs
+++ b/crates/claim/src/log.rs
@@ -54,7 +54,7 @@
 
     /// Tells what `record` would do to its key.
     pub(crate) fn effect(&self, record: &Record) -> Effect<'_> {
-        match self.held.get(&record.print.as_u128()) {
+        match self.held.get(&record.fingerprint.as_u128()) {
             None => Effect::Takes,
             Some(held) if held.holder.attempt == record.holder.attempt => Effect::Stands,
             Some(held) if held.digest != record.digest => Effect::Loses(held),
@@ -73,7 +73,7 @@
                     holder: record.holder.clone(),
                 };
                 let made = Age(self.latest_ms);
-                self.held.insert(record.print.as_u128(), held, made);
+                self.held.insert(record.fingerprint.as_u128(), held, made);
             }
         }
         self.batches.push_back((self.next, batch.made_ms));
--- a/crates/claim/src/options.rs
+++ b/crates/claim/src/options.rs
@@ -17,7 +17,7 @@
     /// How many claims wait for a batch at most.
     pub queue: usize,
     /// How long a claim waits for the platform before it is refused.
-    pub patience: Duration,
+    pub time_budget: Duration,
     /// How long to wait before a failed call is made again, at first.
     pub backoff: Duration,
     /// How long to wait before a failed call is made again, at most.
@@ -55,7 +55,7 @@
             window: Duration::from_millis(25),
             batch: 1000,
             queue: 20_000,
-            patience: Duration::from_secs(2),
+            time_budget: Duration::from_secs(2),
             backoff: Duration::from_millis(50),
             backoff_limit: Duration::from_secs(2),
         }
--- a/crates/claim/src/owner.rs
+++ b/crates/claim/src/owner.rs
@@ -11,7 +11,7 @@
 /// Panics if `shards` is zero.
 #[must_use]
 pub fn shard(identity: &Identity, shards: u32) -> u32 {
-    let shard = identity.print() % u128::from(shards);
+    let shard = identity.fingerprint() % u128::from(shards);
     u32::try_from(shard).expect("the remainder of a 32-bit number fits into 32 bits")
 }
 
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -15,7 +15,7 @@
 #[serde(from = "Compact", into = "Compact")]
 pub struct Record {
     /// The hash of the request's identity.
-    pub print: Uuid,
+    pub fingerprint: Uuid,
     /// A hash of the payload.
     pub digest: u64,
     /// The attempt and the one agent that may start it.
@@ -27,7 +27,7 @@
 impl From<&Claim> for Record {
     fn from(claim: &Claim) -> Self {
         Self {
-            print: Uuid::from_u128(claim.identity.print()),
+            fingerprint: Uuid::from_u128(claim.identity.fingerprint()),
             digest: claim.digest,
             holder: claim.holder.clone(),
             from: claim.from,
@@ -50,7 +50,8 @@
 
 impl From<Compact> for Record {
     fn from(compact: Compact) -> Self {
-        let Compact(print, digest, attempt, from, endpoint, incarnation, age, start_by) = compact;
+        let Compact(fingerprint, digest, attempt, from, endpoint, incarnation, age, start_by) =
+            compact;
         let terms = Terms {
             endpoint,
             incarnation,
@@ -58,7 +59,7 @@
         };
         let window = Window { terms, start_by };
         Self {
-            print,
+            fingerprint,
             digest,
             holder: Holder { attempt, window },
             from,
@@ -70,7 +71,7 @@
     fn from(record: Record) -> Self {
         let Holder { attempt, window } = record.holder;
         Self(
-            record.print,
+            record.fingerprint,
             record.digest,
             attempt,
             record.from,
--- a/crates/claim/src/shard.rs
+++ b/crates/claim/src/shard.rs
@@ -88,7 +88,7 @@
     pub fn wake(&self) -> Option<Instant> {
         let flying = self.flight.iter().flat_map(|flight| &flight.waiting);
         let oldest = flying.chain(&self.waiting).map(|claim| claim.since).min();
-        let given_up = oldest.map(|since| since + self.options.patience);
+        let given_up = oldest.map(|since| since + self.options.time_budget);
         if self.call.is_some() {
             return given_up;
         }
@@ -220,9 +220,9 @@
     /// Refuses the claims that have waited for too long. Those in flight may
     /// be recorded yet, but they are never granted after this.
     fn give_up(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        let patience = self.options.patience;
+        let time_budget = self.options.time_budget;
         let mut keep = |claim: &Waiting| {
-            let waits = now < claim.since + patience;
+            let waits = now < claim.since + time_budget;
             if !waits {
                 commands.push(answer_to(claim, Answer::Unavailable));
             }
@@ -288,10 +288,10 @@
         self.count += 1;
         let mut flying: Vec<Waiting> = Vec::new();
         let mut later = Vec::new();
-        let mut prints = cactusnotch_base::Table::new();
+        let mut fingerprints = cactusnotch_base::Table::new();
         for claim in std::mem::take(&mut self.waiting) {
-            let print = claim.record.print;
-            if flying.len() < self.options.batch && prints.insert(print, ()).is_none() {
+            let fingerprint = claim.record.fingerprint;
+            if flying.len() < self.options.batch && fingerprints.insert(fingerprint, ()).is_none() {
                 flying.push(claim);
             } else {
                 later.push(claim);
--- a/crates/claim/tests/keys.rs
+++ b/crates/claim/tests/keys.rs
@@ -6,7 +6,7 @@
 use cactusnotch_base::name::Process;
 use cactusnotch_base::number::Incarnation;
 use cactusnotch_base::outcome::Key;
-use cactusnotch_claim::kind::{Bare, Refusal, Way, way};
+use cactusnotch_claim::kind::{Bare, Mode, Refusal, mode};
 use cactusnotch_claim::{Options, Signer, Ticket, owner, ticket};
 use cactusnotch_ledger::{Age, Terms};
 use proptest::prelude::*;
@@ -35,24 +35,24 @@
     SystemTime::UNIX_EPOCH + Duration::from_millis(ms)
 }
 
-fn way_of(key: &Key, organisation: &str, ms: u64, bare: Bare) -> Result<Way, Refusal> {
+fn mode_of(key: &Key, organisation: &str, ms: u64, bare: Bare) -> Result<Mode, Refusal> {
     let options = Options::default();
-    way(key, &organisation.into(), &signer(), bare, &options, at(ms))
+    mode(key, &organisation.into(), &signer(), bare, &options, at(ms))
 }
 
 #[test]
 fn tickets_name_their_agent_until_they_expire() {
     let key = signer().sign(&ticket());
-    let good = way_of(&key, "loom", 1_999_999, Bare::Refuse);
-    assert_eq!(good, Ok(Way::Ticket(ticket().terms)));
-    let expired = way_of(&key, "loom", 2_000_000, Bare::Refuse).unwrap_err();
+    let good = mode_of(&key, "loom", 1_999_999, Bare::Refuse);
+    assert_eq!(good, Ok(Mode::Ticket(ticket().terms)));
+    let expired = mode_of(&key, "loom", 2_000_000, Bare::Refuse).unwrap_err();
     assert_eq!(expired, Refusal::Ticket(ticket::Refusal::Expired));
     assert_eq!(expired.outcome(), Outcome::Unknown);
-    let foreign = way_of(&key, "ledgers", 1_500_000, Bare::Refuse).unwrap_err();
+    let foreign = mode_of(&key, "ledgers", 1_500_000, Bare::Refuse).unwrap_err();
     assert_eq!(foreign, Refusal::Ticket(ticket::Refusal::Foreign));
     assert_eq!(foreign.outcome(), Outcome::NotRun);
     let other = Signer::new(b"another secret").sign(&ticket());
-    let forged = way_of(&other, "loom", 1_500_000, Bare::Refuse).unwrap_err();
+    let forged = mode_of(&other, "loom", 1_500_000, Bare::Refuse).unwrap_err();
     assert_eq!(forged, Refusal::Ticket(ticket::Refusal::Forged));
 }
 
@@ -65,15 +65,15 @@
     let made = made * 1000;
     let lifetime = u64::try_from(options.lifetime.as_millis()).unwrap();
     let skew = u64::try_from(options.skew.as_millis()).unwrap();
-    let at = |ms| way_of(&key, "loom", ms, Bare::Refuse);
-    assert_eq!(at(made + lifetime - 1), Ok(Way::Claim));
+    let at = |ms| mode_of(&key, "loom", ms, Bare::Refuse);
+    assert_eq!(at(made + lifetime - 1), Ok(Mode::Claim));
     assert_eq!(at(made + lifetime), Err(Refusal::Stale));
-    assert_eq!(at(made - skew), Ok(Way::Claim));
+    assert_eq!(at(made - skew), Ok(Mode::Claim));
     assert_eq!(at(made - skew - 1), Err(Refusal::Early));
     assert_eq!(Refusal::Stale.outcome(), Outcome::Unknown);
     let bare = Key::new("order 17");
-    assert_eq!(way_of(&bare, "loom", made, Bare::Accept), Ok(Way::Claim));
-    let refused = way_of(&bare, "loom", made, Bare::Refuse);
+    assert_eq!(mode_of(&bare, "loom", made, Bare::Accept), Ok(Mode::Claim));
+    let refused = mode_of(&bare, "loom", made, Bare::Refuse);
     assert_eq!(refused, Err(Refusal::Bare));
 }
 
--- a/crates/claim/tests/shard.rs
+++ b/crates/claim/tests/shard.rs
@@ -147,7 +147,7 @@
     let mut writer = shard(1);
     let fates = [Fate::Down; 2];
     assert_eq!(platform.ask(&mut writer, claim(1, "key"), &fates), []);
-    platform.pass(Options::default().patience);
+    platform.pass(Options::default().time_budget);
     let answers = platform.settle(&mut writer, Event::Tick, &fates);
     assert_eq!(answers, [Answer::Unavailable]);
     let answers = platform.ask(&mut writer, claim(2, "key"), &[]);
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use cactusnotch_attempt::{Order, Way};
+use cactusnotch_attempt::{Mode, Order};
 use cactusnotch_base::name::{Model, Organisation};
 use cactusnotch_base::number::Sequence;
 use cactusnotch_base::outcome::Key;
@@ -155,13 +155,16 @@
             "header {LAST_EVENT_ID}: only a non-idempotent request with a key can be resumed"
         )));
     }
-    let (key, way) = match &manner.key {
-        Some(key) => (key.clone(), way(shared, organisation, manner, key, repeat)?),
-        None => (Key::new(Uuid::new_v4().to_string()), Way::Private),
+    let (key, mode) = match &manner.key {
+        Some(key) => (
+            key.clone(),
+            mode(shared, organisation, manner, key, repeat)?,
+        ),
+        None => (Key::new(Uuid::new_v4().to_string()), Mode::Private),
     };
-    let linger = match way {
-        Way::Private => Duration::ZERO,
-        Way::Claim | Way::Ticket(_) | Way::Resume(_) => shared.options.linger,
+    let linger = match mode {
+        Mode::Private => Duration::ZERO,
+        Mode::Claim | Mode::Ticket(_) | Mode::Resume(_) => shared.options.linger,
     };
     Ok(Order {
         identity: Identity {
@@ -170,7 +173,7 @@
         },
         digest: digest(call),
         repeat,
-        way,
+        mode,
         conversation: Attempt(Uuid::new_v4()),
         after: manner.after,
         deadline: shared.clock.now() + organisation.deadline,
@@ -179,13 +182,13 @@
 }
 
 /// Returns how the agent that may run a keyed request is found.
-fn way<C: Clock>(
+fn mode<C: Clock>(
     shared: &Shared<C>,
     organisation: &resolved::Organisation,
     manner: &Manner,
     key: &Key,
     repeat: Repeat,
-) -> Result<Way, Problem> {
+) -> Result<Mode, Problem> {
     let bare = if organisation.accepts_bare_keys || repeat == Repeat::Idempotent {
         Bare::Accept
     } else {
@@ -197,7 +200,7 @@
         lifetime: organisation.key_lifetime.min(memory.lifetime),
         ..memory.clone()
     };
-    match kind::way(
+    match kind::mode(
         key,
         &manner.organisation,
         &shared.signer,
@@ -205,8 +208,8 @@
         &options,
         wall,
     ) {
-        Ok(kind::Way::Claim) => Ok(Way::Claim),
-        Ok(kind::Way::Ticket(terms)) => Ok(Way::Ticket(terms)),
+        Ok(kind::Mode::Claim) => Ok(Mode::Claim),
+        Ok(kind::Mode::Ticket(terms)) => Ok(Mode::Ticket(terms)),
         Err(refusal) => Err(Problem::new(
             "key-refused",
             "The key cannot be used",
--- a/crates/gateway/src/knowledge/era.rs
+++ b/crates/gateway/src/knowledge/era.rs
@@ -22,7 +22,7 @@
     /// Takes that another entry knows the store up to `position`. Of a newer era that is a
     /// reason to ask the store.
     pub(crate) fn note_position(&self, position: Position, now: Instant) {
-        self.eras.hear(position.era(), now);
+        self.eras.record_report(position.era(), now);
         self.lag.observe(position);
     }
 
@@ -34,7 +34,7 @@
             return;
         }
         self.applied_era.set(era);
-        let Some(since) = self.eras.young_since() else {
+        let Some(since) = self.eras.unsettled_since() else {
             return;
         };
         metrics::counter!(metric::GATEWAY_ERAS).increment(1);
@@ -67,7 +67,7 @@
             .as_ref()
             .map_or(0, |c| c.version);
         let era = position.era();
-        let young_since = self.eras.young_since();
+        let young_since = self.eras.unsettled_since();
         let shown = self.shown.get();
         if shown.confirms(known, era, asked, young_since) {
             self.freshness.borrow_mut().renew(asked);
--- a/crates/gateway/src/knowledge/evacuations.rs
+++ b/crates/gateway/src/knowledge/evacuations.rs
@@ -48,7 +48,10 @@
     pub(super) fn replace_evacuations(&self, changes: &[Change], position: Position, now: Instant) {
         let all = changes.iter().map(|change| change.name.clone());
         let names: Vec<_> = all.filter(|name| !name.is_empty()).collect();
-        let rewritten = self.eras.young_since().map(|since| since + REWRITE_TIME);
+        let rewritten = self
+            .eras
+            .unsettled_since()
+            .map(|since| since + REWRITE_TIME);
         let rewritten = rewritten.filter(|&until| until > now);
         self.change_evacuations("the store", now, |evacuations| {
             evacuations.replace(&names, position, rewritten);
--- a/crates/gateway/src/knowledge/outage.rs
+++ b/crates/gateway/src/knowledge/outage.rs
@@ -80,6 +80,6 @@
         let mut outage = self.outage.get();
         outage.end(now);
         self.outage.set(outage);
-        self.eras.return_at(now);
+        self.eras.record_return(now);
     }
 }
--- a/crates/gateway/src/lag.rs
+++ b/crates/gateway/src/lag.rs
@@ -32,14 +32,14 @@
     /// Notes that endpoints are known up to `position`.
     pub(crate) fn advance(&self, position: Position) {
         let mut progress = self.progress.get();
-        progress.know(position);
+        progress.advance(position);
         self.progress.set(progress);
     }
 
     /// Notes that the store has reached `position`.
     pub(crate) fn observe(&self, position: Position) {
         let mut progress = self.progress.get();
-        progress.reach(position);
+        progress.record_reached(position);
         self.progress.set(progress);
         if progress.is_behind() {
             self.behind.notify_one();
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use cactusnotch_base::clock;
 use cactusnotch_derive::record;
-use cactusnotch_position::eras::Seen;
+use cactusnotch_position::eras::Observation;
 use cactusnotch_position::{Era, Eras, Position};
 use derive_more::{Display, Error};
 use http::{HeaderMap, Request, StatusCode};
@@ -357,12 +357,12 @@
         let answer = answer.map_err(Error::Channel)?;
         let era = C::era(answer.headers()).ok_or(Error::EraUnreadable)?;
         let (now, status) = (clock::now(), answer.status());
-        if self.eras.see(era, now) == Seen::Ended {
+        if self.eras.observe(era, now) == Observation::Ended {
             return Err(Error::EraEnded);
         }
         let is_unavailable = status.is_server_error() || status == StatusCode::TOO_MANY_REQUESTS;
         if !is_unavailable {
-            self.eras.serve(now);
+            self.eras.record_served(now);
         }
         match status {
             status if status.is_success() => Ok((era, answer.into_body())),
--- a/crates/gateway/src/watcher.rs
+++ b/crates/gateway/src/watcher.rs
@@ -120,7 +120,7 @@
     /// have been.
     fn is_outdated(&self) -> bool {
         let eras = &self.shared.eras;
-        self.known().era() != eras.current() || eras.is_in_doubt()
+        self.known().era() != eras.current() || eras.is_unconfirmed()
     }
 
     /// Waits until it is this entry's turn to list what others list too: those that watch for
--- a/crates/history/src/catchup.rs
+++ b/crates/history/src/catchup.rs
@@ -5,7 +5,7 @@
 use cactusnotch_base::number::Revision;
 use cactusnotch_objects::object::Version;
 
-use crate::{Call, Proven, Reply, Step};
+use crate::{Call, Fetched, Reply, Step};
 
 /// Finds out what the platform holds beyond a revision, in two calls, or three
 /// if the revision is far behind.
@@ -24,8 +24,8 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum State {
     Listing,
-    ReadingFloor(Proven),
-    ReadingSnapshot(Proven),
+    ReadingFloor(Fetched),
+    ReadingSnapshot(Fetched),
 }
 
 impl Catchup {
@@ -58,12 +58,12 @@
 
     /// Takes in the reply to the last call. A call without an answer is made
     /// again.
-    pub fn step(&mut self, reply: Reply) -> Step<Proven> {
+    pub fn step(&mut self, reply: Reply) -> Step<Fetched> {
         match (std::mem::replace(&mut self.state, State::Listing), reply) {
             (State::Listing, Reply::Listed { entries, version }) => {
                 let is_watch = self.after > Version(0);
                 let is_news = !is_watch || !entries.is_empty();
-                let found = Proven {
+                let found = Fetched {
                     snapshot: None,
                     entries,
                     version,
@@ -89,7 +89,7 @@
     }
 
     /// Leaves out the entries at and below the floor.
-    fn leave_out(&mut self, mut found: Proven, floor: Revision) -> Step<Proven> {
+    fn leave_out(&mut self, mut found: Fetched, floor: Revision) -> Step<Fetched> {
         found.entries.retain(|entry| entry.value.revision > floor);
         if floor <= self.held {
             return Step::Done(found);
--- a/crates/history/src/proven.rs
+++ b/crates/history/src/fetched.rs
@@ -19,7 +19,7 @@
 /// leftover of a number that was trimmed, so that it may be passed on.
 #[message]
 #[derive(Eq)]
-pub struct Proven {
+pub struct Fetched {
     /// The snapshot, if entries are missing without it.
     pub snapshot: Option<Box<Stored<Snapshot>>>,
     /// The entries in order.
--- a/crates/history/src/reader.rs
+++ b/crates/history/src/reader.rs
@@ -6,7 +6,7 @@
 use cactusnotch_objects::object::Version;
 use derive_more::{Display, Error};
 
-use crate::{Answer, Catchup, Proven, Replica, Reply, Step, perform};
+use crate::{Answer, Catchup, Fetched, Replica, Reply, Step, perform};
 
 /// Why a replica could not be brought up to date. It stays as it was, or has
 /// gone forward.
@@ -88,9 +88,9 @@
 
     fn follow(&mut self, after: Version, wait: Duration) -> Result<Answer, Error> {
         let catchup = Catchup::after(self.replica.revision(), after, wait);
-        let proven = fetch(&self.store, catchup)?;
-        let answer = take(&mut self.replica, &proven)?;
-        self.version = proven.version;
+        let fetched = fetch(&self.store, catchup)?;
+        let answer = take(&mut self.replica, &fetched)?;
+        self.version = fetched.version;
         Ok(answer)
     }
 }
@@ -101,7 +101,7 @@
 /// # Errors
 ///
 /// [`Error::Unavailable`] if a call got no answer.
-pub fn fetch<S: Store>(store: &S, mut catchup: Catchup) -> Result<Proven, Error> {
+pub fn fetch<S: Store>(store: &S, mut catchup: Catchup) -> Result<Fetched, Error> {
     let mut call = catchup.start();
     loop {
         let reply = match perform(store, &call) {
@@ -112,19 +112,19 @@
         };
         match catchup.step(reply) {
             Step::Call(next) => call = next,
-            Step::Done(proven) => return Ok(proven),
+            Step::Done(fetched) => return Ok(fetched),
         }
     }
 }
 
 /// Brings `replica` up to date from `store`.
 pub(crate) fn sync<S: Store>(store: &S, replica: &mut Replica) -> Result<Answer, Error> {
-    let proven = fetch(store, Catchup::new(replica.revision()))?;
-    take(replica, &proven)
+    let fetched = fetch(store, Catchup::new(replica.revision()))?;
+    take(replica, &fetched)
 }
 
-fn take(replica: &mut Replica, proven: &Proven) -> Result<Answer, Error> {
-    let answer = replica.take(proven);
+fn take(replica: &mut Replica, fetched: &Fetched) -> Result<Answer, Error> {
+    let answer = replica.take(fetched);
     if answer.is_held() {
         return Ok(answer);
     }
--- a/crates/history/src/replica.rs
+++ b/crates/history/src/replica.rs
@@ -3,7 +3,7 @@
 use cactusnotch_base::number::Revision;
 use cactusnotch_settings::{Edit, Tree, apply, replay};
 
-use crate::{Answer, Digest, Entry, Judgement, Offer, Proven, Refusal, Snapshot, Summary};
+use crate::{Answer, Digest, Entry, Fetched, Offer, Refusal, Snapshot, Summary, Validation};
 
 /// The entries that are kept for peers at least, once there are that many.
 const TAIL: usize = 128;
@@ -84,15 +84,15 @@
     }
 
     /// Takes in what is new of what the platform holds.
-    pub fn take(&mut self, proven: &Proven) -> Answer {
+    pub fn take(&mut self, fetched: &Fetched) -> Answer {
         let before = self.revision();
-        if let Some(snapshot) = &proven.snapshot {
+        if let Some(snapshot) = &fetched.snapshot {
             let answer = self.offer_snapshot(&snapshot.value);
             if !answer.is_held() {
                 return answer;
             }
         }
-        for entry in &proven.entries {
+        for entry in &fetched.entries {
             let answer = self.offer_entry(&entry.value);
             if !answer.is_held() {
                 return answer;
@@ -139,8 +139,8 @@
     /// # Errors
     ///
     /// Why the edit is refused.
-    pub fn judge(&self, edit: &Edit) -> Result<Judgement, Refusal> {
-        self.head.judge(edit).map_err(|refusal| match refusal {
+    pub fn validate(&self, edit: &Edit) -> Result<Validation, Refusal> {
+        self.head.validate(edit).map_err(|refusal| match refusal {
             Refusal::Invalid { source } => match self.culprit(edit) {
                 Some(other) => Refusal::Overtaken {
                     other: Box::new(other),
--- a/crates/history/src/snapshot.rs
+++ b/crates/history/src/snapshot.rs
@@ -39,7 +39,7 @@
 
 /// What becomes of an edit that is not refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Judgement {
+pub enum Validation {
     /// The edit is in the order already.
     Accepted(Revision),
     /// The edit can be the next entry.
@@ -70,12 +70,12 @@
     /// # Errors
     ///
     /// Why the edit is refused.
-    pub fn judge(&self, edit: &Edit) -> Result<Judgement, Refusal> {
+    pub fn validate(&self, edit: &Edit) -> Result<Validation, Refusal> {
         if let Some(summary) = self.accepted(&edit.id) {
-            return Ok(Judgement::Accepted(summary.revision));
+            return Ok(Validation::Accepted(summary.revision));
         }
         let (entry, _) = self.next(edit)?;
-        Ok(Judgement::Next(Box::new(entry)))
+        Ok(Validation::Next(Box::new(entry)))
     }
 
     /// Returns the state after `entry`, which has to be a valid successor.
--- a/crates/history/src/submission.rs
+++ b/crates/history/src/submission.rs
@@ -4,7 +4,7 @@
 use cactusnotch_settings::Edit;
 
 use crate::{
-    Answer, Call, Catchup, Entry, Judgement, Options, Replica, Reply, Snapshot, Step, Verdict,
+    Answer, Call, Catchup, Entry, Options, Replica, Reply, Snapshot, Step, Validation, Verdict,
 };
 
 /// Brings an edit into the order, or finds out that it cannot be.
@@ -53,7 +53,7 @@
 
     /// Begins, with the replica as it stands.
     pub fn start(&mut self, replica: &Replica) -> Step<Verdict> {
-        self.judge(replica)
+        self.validate(replica)
     }
 
     /// Takes in the reply to the last call.
@@ -67,8 +67,8 @@
                     self.state = State::CatchingUp(catchup);
                     Step::Call(call)
                 }
-                Step::Done(proven) => {
-                    let answer = replica.take(&proven);
+                Step::Done(fetched) => {
+                    let answer = replica.take(&fetched);
                     self.caught_up(replica, &answer)
                 }
             },
@@ -76,14 +76,14 @@
             State::ReadingBack(entry) => self.read_back(replica, entry.revision, reply),
             State::Confirming(entry) => self.confirmed(replica, entry, &reply),
             State::Settling(entry) => self.settled(replica, &entry, reply),
-            State::Idle | State::Removing => self.judge(replica),
+            State::Idle | State::Removing => self.validate(replica),
         }
     }
 
-    fn judge(&mut self, replica: &Replica) -> Step<Verdict> {
-        match replica.judge(&self.edit) {
-            Ok(Judgement::Accepted(revision)) => Step::Done(Verdict::Accepted { revision }),
-            Ok(Judgement::Next(entry)) => {
+    fn validate(&mut self, replica: &Replica) -> Step<Verdict> {
+        match replica.validate(&self.edit) {
+            Ok(Validation::Accepted(revision)) => Step::Done(Verdict::Accepted { revision }),
+            Ok(Validation::Next(entry)) => {
                 self.state = State::Creating(entry.clone());
                 Step::Call(Call::Create(entry))
             }
@@ -107,7 +107,7 @@
         // A number that the order has reached is free no more: whatever is
         // still on its way to it comes too late.
         self.pending = self.pending.filter(|&slot| slot > replica.revision());
-        self.judge(replica)
+        self.validate(replica)
     }
 
     fn created(&mut self, replica: &Replica, entry: Box<Entry>, reply: Reply) -> Step<Verdict> {
@@ -127,7 +127,7 @@
         match reply {
             Reply::Entry(Some(found)) if found.edit.id == self.edit.id => self.confirm(found),
             Reply::Entry(Some(_)) => self.outrun(replica, slot),
-            _ => self.judge(replica),
+            _ => self.validate(replica),
         }
     }
 
@@ -221,7 +221,7 @@
             State::Confirming(_) => Step::Call(Call::ReadFloor),
             State::Settling(_) => Step::Call(Call::ReadSnapshot),
             // What is left behind the floor is removed at the next fold.
-            State::Idle | State::Removing => self.judge(replica),
+            State::Idle | State::Removing => self.validate(replica),
             State::CatchingUp(_) => self.catch_up(replica),
         }
     }
--- a/crates/history/tests/interleaving.rs
+++ b/crates/history/tests/interleaving.rs
@@ -244,8 +244,8 @@
             },
             Work::Reading(mut catchup, pending) => match catchup.step(call(&pending)) {
                 Step::Call(next) => Work::Reading(catchup, next),
-                Step::Done(proven) => {
-                    let answer = replica.take(&proven);
+                Step::Done(fetched) => {
+                    let answer = replica.take(&fetched);
                     assert!(answer.is_held(), "a reader's answer: {answer}");
                     Work::Idle
                 }
--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -52,7 +52,7 @@
             Ok(()) => self.start(run, listener, age, commands),
             Err(refusal) => {
                 if refusal.outcome == Outcome::NotRun {
-                    self.stones.add(run.attempt, run.window.start_by, age);
+                    self.tombstones.add(run.attempt, run.window.start_by, age);
                 }
                 Self::refuse(link, run.attempt, refusal, commands);
             }
@@ -84,7 +84,7 @@
         if self.known(run.attempt, &run.identity, run.repeat).is_some() {
             return Err(Refusal::not_run(Reason::Mismatch));
         }
-        if self.stones.covers(run.attempt, run.window.start_by) {
+        if self.tombstones.covers(run.attempt, run.window.start_by) {
             return Err(Refusal::not_run(Reason::Tombstoned));
         }
         if age > run.window.start_by || age >= run.finish_by {
@@ -129,7 +129,8 @@
         self.running
             .insert(run.attempt, Row::new(run, run.finish_by));
         if run.repeat == Repeat::Once {
-            self.running_keys.insert(run.identity.print(), run.attempt);
+            self.running_keys
+                .insert(run.identity.fingerprint(), run.attempt);
         }
         debug_assert!(age <= run.window.start_by);
         commands.push(Command::Start(run.attempt));
@@ -149,7 +150,7 @@
         if let Err(refusal) = self.remembers(window, age) {
             return refused(query, &refusal);
         }
-        self.stones.add(target, window.start_by, age);
+        self.tombstones.add(target, window.start_by, age);
         Reply::Tombstoned { attempt, target }
     }
 
@@ -185,7 +186,7 @@
         if let Err(refusal) = self.remembers(window, age) {
             return Self::refuse(link, attempt, refusal, commands);
         }
-        let given_up = age > window.start_by || self.stones.covers(target, window.start_by);
+        let given_up = age > window.start_by || self.tombstones.covers(target, window.start_by);
         let reply = if given_up {
             Reply::Tombstoned { attempt, target }
         } else {
--- a/crates/ledger/src/delivery.rs
+++ b/crates/ledger/src/delivery.rs
@@ -98,9 +98,9 @@
         self.bytes -= row.answer.pack();
         match row.repeat {
             Repeat::Once => {
-                let print = row.identity.print();
-                self.running_keys.remove(&print);
-                self.ended_keys.insert(print, runner, age);
+                let fingerprint = row.identity.fingerprint();
+                self.running_keys.remove(&fingerprint);
+                self.ended_keys.insert(fingerprint, runner, age);
                 self.once.insert(runner, row, age);
             }
             Repeat::Idempotent => self.repeatable.insert(runner, row, age),
@@ -114,12 +114,12 @@
             return;
         };
         self.bytes -= row.answer.bytes() + row.identity.bytes();
-        self.running_keys.remove(&row.identity.print());
-        self.stones.add(runner, row.start_by, age);
+        self.running_keys.remove(&row.identity.fingerprint());
+        self.tombstones.add(runner, row.start_by, age);
         for listener in row.end(State::Finished) {
             let refusal = match listener.start_by {
                 Some(start_by) => {
-                    self.stones.add(listener.attempt, start_by, age);
+                    self.tombstones.add(listener.attempt, start_by, age);
                     Refusal::not_run(Reason::Unstarted)
                 }
                 None => Refusal::unknown(Reason::Unstarted),
--- a/crates/ledger/src/identity.rs
+++ b/crates/ledger/src/identity.rs
@@ -17,7 +17,7 @@
 impl Identity {
     /// Returns a hash of the identity that is the same in every process.
     #[must_use]
-    pub fn print(&self) -> u128 {
+    pub fn fingerprint(&self) -> u128 {
         let mut hasher = Xxh3::new();
         hasher.update(&self.organisation.as_str().len().to_le_bytes());
         hasher.update(self.organisation.as_str().as_bytes());
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -7,7 +7,7 @@
 
 use crate::message::{Fault, Repeat};
 use crate::row::{Row, State};
-use crate::stones::Stones;
+use crate::tombstones::Tombstones;
 use crate::{Age, Attempt, Command, Event, Generations, Identity, Link, Options, Reply, Request};
 
 /// How many tables the rows of one lifetime are spread over.
@@ -32,7 +32,7 @@
     pub(crate) running_keys: Table<u128, Attempt>,
     /// The attempt that ran each request in `once`; forgotten together.
     pub(crate) ended_keys: Generations<u128, Attempt>,
-    pub(crate) stones: Stones,
+    pub(crate) tombstones: Tombstones,
     /// The bytes of answers and of identities.
     pub(crate) bytes: usize,
 }
@@ -58,7 +58,7 @@
             repeatable: Generations::new(options.repeatable_lifetime / PERIODS),
             running_keys: Table::new(),
             ended_keys: Generations::new(options.lifetime / PERIODS),
-            stones: Stones::new(options.stones),
+            tombstones: Tombstones::new(options.tombstones),
             bytes: 0,
             options,
         }
@@ -103,7 +103,7 @@
     /// Returns the number of given-up attempts that are remembered.
     #[must_use]
     pub fn tombstones(&self) -> usize {
-        self.stones.len()
+        self.tombstones.len()
     }
 
     /// Returns the number of bytes kept of answers and of keys.
@@ -170,7 +170,7 @@
     /// Ends what is overdue and forgets what is older than its lifetime.
     fn sweep(&mut self, age: Age) -> Vec<Command> {
         let commands = self.stop_overdue(age);
-        self.stones.expire(age);
+        self.tombstones.expire(age);
         while let Some(rows) = self.once.expire(age, self.options.lifetime) {
             self.release(&rows);
         }
@@ -214,10 +214,10 @@
 
     /// Returns the attempt that runs or ran a non-idempotent request.
     pub(crate) fn runner(&self, identity: &Identity) -> Option<Attempt> {
-        let print = identity.print();
+        let fingerprint = identity.fingerprint();
         self.running_keys
-            .get(&print)
-            .or_else(|| self.ended_keys.get(&print))
+            .get(&fingerprint)
+            .or_else(|| self.ended_keys.get(&fingerprint))
             .copied()
     }
 
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod message;
 mod options;
 mod row;
-mod stones;
+mod tombstones;
 mod window;
 
 pub use age::Age;
--- a/crates/ledger/src/options.rs
+++ b/crates/ledger/src/options.rs
@@ -12,7 +12,7 @@
     /// How many runs are remembered.
     pub rows: usize,
     /// How many given-up attempts are remembered one by one.
-    pub stones: usize,
+    pub tombstones: usize,
     /// How many bytes of answers and of keys are kept, over all runs.
     pub bytes: usize,
     /// How many bytes of one answer are kept to be sent again.
@@ -27,7 +27,7 @@
             lifetime: Duration::from_mins(15),
             repeatable_lifetime: Duration::from_mins(1),
             rows: 200_000,
-            stones: 20_000,
+            tombstones: 20_000,
             bytes: 64 << 20,
             answer_bytes: 1 << 20,
             key_bytes: 512,
--- a/crates/ledger/src/stones.rs
+++ b/crates/ledger/src/tombstones.rs
@@ -10,13 +10,13 @@
 /// anyway. When the table is full the floor rises instead: every attempt that
 /// had to start by then is refused, so nothing that was promised is forgotten.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Stones {
+pub(crate) struct Tombstones {
     limit: usize,
     floor: Option<Age>,
     table: Table<Attempt, Age>,
 }
 
-impl Stones {
+impl Tombstones {
     pub(crate) fn new(limit: usize) -> Self {
         Self {
             limit,
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -126,7 +126,7 @@
 #[test]
 fn a_tombstone_outlives_a_full_table() {
     let mut agent = Agent::new(Options {
-        stones: 1,
+        tombstones: 1,
         ..Options::default()
     });
     let runs: Vec<_> = (0..4).map(|n| agent.run(n, &format!("key {n}"))).collect();
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use cactusnotch_base::number::Revision;
-use cactusnotch_history::{Catchup, Proven, fetch};
+use cactusnotch_history::{Catchup, Fetched, fetch};
 use cactusnotch_member::registration::{self, Answer as Own};
 use cactusnotch_member::{Delta, Record, Row};
 use cactusnotch_objects::Object;
@@ -48,27 +48,27 @@
     wait: Duration,
 ) -> Result<Vec<Span>, String> {
     let read = |catchup| fetch(store, catchup).map_err(|error| error.to_string());
-    let mut proven = read(Catchup::after(held, after, wait))?;
+    let mut fetched = read(Catchup::after(held, after, wait))?;
     for _ in 0..READS {
-        if !is_snapshot_later(&proven) {
-            return Ok(spans(proven));
+        if !is_snapshot_later(&fetched) {
+            return Ok(spans(fetched));
         }
-        proven = read(Catchup::new(held))?;
+        fetched = read(Catchup::new(held))?;
     }
     Err("the snapshot was written anew during each read".to_owned())
 }
 
 /// Tells whether the snapshot was written after the entries were listed. A
 /// holder of its version would never be told of entries from between.
-fn is_snapshot_later(proven: &Proven) -> bool {
-    let snapshot = proven.snapshot.as_ref();
-    snapshot.is_some_and(|snapshot| snapshot.version > proven.version)
+fn is_snapshot_later(fetched: &Fetched) -> bool {
+    let snapshot = fetched.snapshot.as_ref();
+    snapshot.is_some_and(|snapshot| snapshot.version > fetched.version)
 }
 
-fn spans(proven: Proven) -> Vec<Span> {
-    let snapshot = proven.snapshot.map(|stored| *stored);
+fn spans(fetched: Fetched) -> Vec<Span> {
+    let snapshot = fetched.snapshot.map(|stored| *stored);
     let snapshot = snapshot.map(|stored| payload::snapshot(stored.value, stored.version));
-    let entries = proven.entries.into_iter();
+    let entries = fetched.entries.into_iter();
     let entries = entries.map(|stored| payload::entry(stored.value, stored.version));
     snapshot.into_iter().chain(entries).collect()
 }
--- a/crates/node/tests/order.rs
+++ b/crates/node/tests/order.rs
@@ -8,7 +8,7 @@
 use cactusnotch_base::clock::System;
 use cactusnotch_base::name::{DataCentre, Host, Process, Region};
 use cactusnotch_base::number::{Incarnation, Revision, Sequence};
-use cactusnotch_history::{Digest, Entry, Judgement, Offer, Replica, Snapshot};
+use cactusnotch_history::{Digest, Entry, Offer, Replica, Snapshot, Validation};
 use cactusnotch_link::{Identity, Options as LinkOptions, Role, Secret};
 use cactusnotch_member::{Record, State};
 use cactusnotch_node::{Node, Options};
@@ -72,9 +72,9 @@
         name: name.to_owned(),
     };
     let edit = Edit::new("test", "declare", replica.revision(), vec![create]);
-    match replica.judge(&edit).unwrap() {
-        Judgement::Next(entry) => *entry,
-        Judgement::Accepted(_) => unreachable!("the edit is new"),
+    match replica.validate(&edit).unwrap() {
+        Validation::Next(entry) => *entry,
+        Validation::Accepted(_) => unreachable!("the edit is new"),
     }
 }
 
--- a/crates/position/src/eras.rs
+++ b/crates/position/src/eras.rs
@@ -9,7 +9,7 @@
 
 /// What an answer of the store says of its era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Seen {
+pub enum Observation {
     /// It is of the newest era.
     Current,
     /// It is of a newer era than all before: the store came back from an older copy.
@@ -39,18 +39,18 @@
     /// What another process has told last, and when.
     told: Cell<Option<(Era, Instant)>>,
     /// Whether the store is to be asked for the sake of that.
-    in_doubt: Cell<bool>,
+    unconfirmed: Cell<bool>,
     changed: Notify,
 }
 
 impl Eras {
     /// Takes the era that an answer of the store names.
-    pub fn see(&self, era: Era, now: Instant) -> Seen {
-        self.in_doubt.set(false);
+    pub fn observe(&self, era: Era, now: Instant) -> Observation {
+        self.unconfirmed.set(false);
         let known = self.current.get();
         match known {
-            Some(known) if era < known.era => return Seen::Ended,
-            Some(known) if era == known.era => return Seen::Current,
+            Some(known) if era < known.era => return Observation::Ended,
+            Some(known) if era == known.era => return Observation::Current,
             _ => {}
         }
         let told = self.told.get().filter(|(told, _)| *told == era);
@@ -61,7 +61,7 @@
             may_be_young: known.is_some() || era > Era::default(),
         }));
         let Some(known) = known else {
-            return Seen::Current;
+            return Observation::Current;
         };
         tracing::warn!(
             era = era.0,
@@ -69,12 +69,12 @@
             "store came back from an older copy"
         );
         self.changed.notify_waiters();
-        Seen::Newer
+        Observation::Newer
     }
 
     /// Takes that the store has served a call in the current era. Another process may have
     /// told before that it was served in it.
-    pub fn serve(&self, now: Instant) {
+    pub fn record_served(&self, now: Instant) {
         let current = self.current.get();
         let Some(known) = current.filter(|known| known.serving.is_none()) else {
             return;
@@ -86,7 +86,7 @@
 
     /// Takes that the store serves again after an outage: what it lost when an era began that
     /// is young still can be written again from now on.
-    pub fn return_at(&self, now: Instant) {
+    pub fn record_return(&self, now: Instant) {
         if let Some(known) = self.current.get().filter(|known| known.may_be_young) {
             let serving = known.serving.max(Some(now));
             self.current.set(Some(Current { serving, ..known }));
@@ -94,7 +94,7 @@
     }
 
     /// Takes that another process was served in `era`, which is in doubt until the store is asked.
-    pub fn hear(&self, era: Era, now: Instant) {
+    pub fn record_report(&self, era: Era, now: Instant) {
         let is_told = self.told.get().is_some_and(|(told, _)| told == era);
         if era <= self.current() || is_told {
             return;
@@ -105,7 +105,7 @@
             "another process knows a newer era of the store"
         );
         self.told.set(Some((era, now)));
-        self.in_doubt.set(true);
+        self.unconfirmed.set(true);
         self.changed.notify_waiters();
     }
 
@@ -125,8 +125,8 @@
 
     /// Tells whether the store is to be asked, since another process knows a newer era.
     #[must_use]
-    pub const fn is_in_doubt(&self) -> bool {
-        self.in_doubt.get()
+    pub const fn is_unconfirmed(&self) -> bool {
+        self.unconfirmed.get()
     }
 
     /// Returns the newest era.
@@ -140,7 +140,7 @@
     /// Returns since when the store is known to serve in this era, if it may have come back
     /// from an older copy shortly before.
     #[must_use]
-    pub fn young_since(&self) -> Option<Instant> {
+    pub fn unsettled_since(&self) -> Option<Instant> {
         let known = self.current.get()?;
         let since = known.serving.unwrap_or(known.heard);
         known.may_be_young.then_some(since)
--- a/crates/position/src/progress.rs
+++ b/crates/position/src/progress.rs
@@ -30,13 +30,13 @@
 
     /// Notes that all changes up to `position` are known. Of a newer era it takes the place
     /// of all before.
-    pub fn know(&mut self, position: Position) {
+    pub fn advance(&mut self, position: Position) {
         self.known = self.known.newest(position);
         self.reached = self.reached.newest(self.known);
     }
 
     /// Notes that the store has reached `position`, if that is of the known era.
-    pub fn reach(&mut self, position: Position) {
+    pub fn record_reached(&mut self, position: Position) {
         if position > self.reached {
             self.reached = position;
         }
--- a/crates/position/tests/progress.rs
+++ b/crates/position/tests/progress.rs
@@ -11,7 +11,7 @@
 #[test]
 fn changes_are_taken_only_if_none_is_missing_before_them() {
     let mut progress = Progress::default();
-    progress.know(at(10));
+    progress.advance(at(10));
     assert!(!progress.is_behind());
     assert!(progress.continues(at(10), at(12)));
     assert!(progress.continues(at(7), at(12)), "some are known already");
@@ -35,9 +35,9 @@
                 for change in from + 1..=to {
                     seen[usize::try_from(change).expect("small")] = true;
                 }
-                progress.know(at(to));
+                progress.advance(at(to));
             } else {
-                progress.reach(at(to));
+                progress.record_reached(at(to));
             }
             let known = (0..changed.len()).find(|&known| at(known as u64) == progress.known());
             let known = known.expect("it is one of these");
@@ -51,10 +51,10 @@
 #[test]
 fn an_answer_that_others_have_outrun_takes_nothing_back() {
     let mut progress = Progress::default();
-    progress.know(at(10));
+    progress.advance(at(10));
     // A watch from 10 is answered at 11 while a datagram brings all up to 12.
     assert!(progress.continues(at(10), at(12)));
-    progress.know(at(12));
+    progress.advance(at(12));
     assert!(!progress.continues(at(10), at(11)));
 }
 
@@ -68,17 +68,17 @@
 #[test]
 fn what_is_known_of_an_era_that_has_ended_leads_nowhere() {
     let mut progress = Progress::default();
-    progress.know(Position::new(Era(1), 50));
+    progress.advance(Position::new(Era(1), 50));
     let again = Position::new(Era(2), 40);
     assert!(!progress.continues(Position::new(Era(2), 30), again));
-    progress.reach(again);
+    progress.record_reached(again);
     assert!(!progress.is_behind(), "the era isn't known yet");
-    progress.know(Position::new(Era(2), 30));
+    progress.advance(Position::new(Era(2), 30));
     assert_eq!(progress.known(), Position::new(Era(2), 30));
-    progress.reach(again);
+    progress.record_reached(again);
     assert!(progress.is_behind());
     assert!(progress.continues(Position::new(Era(2), 30), again));
-    progress.know(Position::new(Era(1), 60));
+    progress.advance(Position::new(Era(1), 60));
     assert_eq!(
         progress.known(),
         Position::new(Era(2), 30),
