--- a/crates/attempt/src/answer.rs
+++ b/crates/attempt/src/answer.rs
@@ -36,7 +36,7 @@
     Replaced,
     /// The agent does not answer.
     #[display("the agent does not answer")]
-    Silent,
+    NoAnswer,
     /// The deadline of the request passed.
     #[display("the deadline passed")]
     Deadline,
@@ -62,7 +62,7 @@
             | Self::Deadline
             | Self::Broken(_)
             | Self::Replaced
-            | Self::Silent
+            | Self::NoAnswer
             | Self::Garbled => false,
         }
     }
--- a/crates/attempt/src/event.rs
+++ b/crates/attempt/src/event.rs
@@ -13,7 +13,7 @@
         /// The endpoint, its agent's incarnation and last known age.
         terms: Terms,
         /// When the agent stated that age.
-        heard: Instant,
+        reported_at: Instant,
         /// A fresh random name for the attempt.
         attempt: Attempt,
     },
--- a/crates/attempt/src/exchange.rs
+++ b/crates/attempt/src/exchange.rs
@@ -153,9 +153,9 @@
         match event {
             Event::Routed {
                 terms,
-                heard,
+                reported_at,
                 attempt,
-            } => self.routed(terms, heard, attempt, now, &mut commands),
+            } => self.routed(terms, reported_at, attempt, now, &mut commands),
             Event::Unroutable if self.state == State::Routing => {
                 self.unreached(Reason::Unroutable, &mut commands);
             }
@@ -186,7 +186,7 @@
     fn routed(
         &mut self,
         terms: Terms,
-        heard: Instant,
+        reported_at: Instant,
         attempt: Attempt,
         now: Instant,
         commands: &mut Vec<Command>,
@@ -194,7 +194,7 @@
         if self.state != State::Routing {
             return;
         }
-        let left = self.order.deadline.saturating_duration_since(heard);
+        let left = self.order.deadline.saturating_duration_since(reported_at);
         self.finish_by = terms.age.after(left);
         let grant = match &self.order.mode {
             Mode::Ticket(grant) => grant.clone(),
--- a/crates/attempt/src/recovery.rs
+++ b/crates/attempt/src/recovery.rs
@@ -71,7 +71,7 @@
     /// The agent does not say what became of the holder.
     pub(crate) fn lost(&mut self, now: Instant, budget: &mut Budget, commands: &mut Vec<Command>) {
         if self.is_repeatable() {
-            return self.uncertain(Reason::Silent, budget, commands);
+            return self.uncertain(Reason::NoAnswer, budget, commands);
         }
         match self.state {
             State::Dispatched { .. } => self.tombstone(now, commands),
@@ -155,7 +155,7 @@
             }
             State::Dispatched { until } if now >= until => self.lost(now, budget, commands),
             State::Tombstoning(patience) | State::Attached(patience) if now >= patience.until => {
-                self.uncertain(Reason::Silent, budget, commands);
+                self.uncertain(Reason::NoAnswer, budget, commands);
             }
             State::Tombstoning(mut patience) if now >= patience.resend => {
                 patience.resend = now + self.options.resend;
--- a/crates/attempt/tests/exchange.rs
+++ b/crates/attempt/tests/exchange.rs
@@ -71,10 +71,10 @@
     fn routed(&mut self, number: u128, endpoint: &str) -> Vec<Command> {
         let terms = terms(endpoint);
         let attempt = attempt(number);
-        let heard = self.now;
+        let reported_at = self.now;
         self.step(Event::Routed {
             terms,
-            heard,
+            reported_at,
             attempt,
         })
     }
@@ -113,7 +113,7 @@
     assert!(routes(&entry.timer()), "a silent agent costs one retry");
     entry.routed(2, "two");
     let lost = entry.step(Event::LinkLost("two".into()));
-    assert_eq!(told(&lost), Some((Outcome::Unknown, Reason::Silent)));
+    assert_eq!(told(&lost), Some((Outcome::Unknown, Reason::NoAnswer)));
 }
 
 #[test]
@@ -219,7 +219,7 @@
     other.incarnation = Incarnation(2);
     let event = Event::Routed {
         terms: other,
-        heard: replaced.now,
+        reported_at: replaced.now,
         attempt: attempt(1),
     };
     let answer = told(&replaced.step(event));
@@ -243,11 +243,11 @@
 #[test]
 fn a_run_lasts_until_the_deadline_however_old_the_known_age() {
     let mut entry = Entry::new(Repeat::Idempotent, Mode::Private, 0);
-    let heard = entry.now;
+    let reported_at = entry.now;
     entry.now += Duration::from_secs(1);
     let sent = entry.step(Event::Routed {
         terms: terms("one"),
-        heard,
+        reported_at,
         attempt: attempt(1),
     });
     let [Command::Send { request, .. }] = &sent[..] else {
--- a/crates/attempt/tests/explore/world.rs
+++ b/crates/attempt/tests/explore/world.rs
@@ -271,10 +271,10 @@
         let count = self.entries[entry].attempts.len();
         let attempt = Attempt(Uuid::from_u128((entry * 16 + count + 1) as u128));
         self.entries[entry].attempts.push(attempt);
-        let heard = if fresh { self.now } else { self.origin };
+        let reported_at = if fresh { self.now } else { self.origin };
         let event = Event::Routed {
             terms,
-            heard,
+            reported_at,
             attempt,
         };
         self.tell_entry(entry, event);
--- a/crates/claim/examples/claims.rs
+++ b/crates/claim/examples/claims.rs
@@ -24,16 +24,16 @@
 use rand::{Rng as _, SeedableRng as _};
 use uuid::Uuid;
 
-/// How long the platform takes for a call.
+/// The duration of a call to the platform.
 const CALL: Duration = Duration::from_millis(5);
-/// The simulated time of a run.
+/// The simulated duration of a run.
 const TIME: Duration = Duration::from_mins(1);
-/// The lifetime of keys in a run, short so that batches are deleted too.
+/// The lifetime of keys in a run, short enough that batches are deleted.
 const LIFETIME: Duration = Duration::from_secs(20);
 /// The step of the simulated clock.
 const STEP: Duration = Duration::from_micros(500);
 
-/// One shard with its log and the call that is out.
+/// One shard with its log and its pending call.
 struct Lane {
     shard: Shard,
     log: VecDeque<Entry>,
@@ -41,7 +41,7 @@
     call: Option<(Instant, Command)>,
 }
 
-/// What a run counted.
+/// The counters of a run.
 struct Count {
     puts: u64,
     lists: u64,
@@ -54,7 +54,7 @@
 
 fn main() {
     println!("memory of one shard's writer over remembered keys");
-    // Kept to the end, so that no measure reuses what another one freed.
+    // Kept until the end, so that no measurement reuses freed memory.
     let shards = [100_000, 200_000, 400_000].map(memory);
     black_box(&shards);
     println!("\nplatform {CALL:?} a call, {TIME:?} simulated, keys live {LIFETIME:?}");
--- a/crates/claim/src/answer.rs
+++ b/crates/claim/src/answer.rs
@@ -1,9 +1,9 @@
-//! What becomes of a claim.
+//! Answers to claims.
 
 use cactusnotch_derive::message;
 use cactusnotch_ledger::Holder;
 
-/// What becomes of a claim.
+/// The answer to a claim.
 #[message]
 #[derive(Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
@@ -12,9 +12,9 @@
     Granted,
     /// Another attempt holds the key.
     Held(Holder),
-    /// The key was claimed for a request with another payload.
+    /// The key is claimed for a request with a different payload.
     Mismatch,
-    /// The claim could not be recorded for now, or not for certain. It may
-    /// stand, so the attempt must never be dispatched.
+    /// The claim could not be recorded, or the result of the write is unknown.
+    /// It may exist in the log, so the attempt must never be dispatched.
     Unavailable,
 }
--- a/crates/claim/src/calls.rs
+++ b/crates/claim/src/calls.rs
@@ -1,4 +1,4 @@
-//! The calls of a shard to the platform, and what their answers mean to it.
+//! The calls of a shard to the platform, with their answers converted to events.
 
 use std::time::Duration;
 
@@ -9,15 +9,15 @@
 use crate::event::Written;
 use crate::{Batch, Event};
 
-/// Returns the kind under which the platform holds a shard's log.
+/// Returns the object kind under which the platform stores a shard's log.
 ///
-/// Each shard has a kind of its own, so that one list call reads one log.
+/// Each shard has its own kind, so one list call reads exactly one log.
 #[must_use]
 pub fn kind(shard: u32) -> String {
     format!("claim-{shard}")
 }
 
-/// Returns the path of a batch; names sort like the numbers.
+/// Returns the path of a batch. Names sort in the order of the numbers.
 #[must_use]
 pub fn path(shard: u32, number: u64) -> Path {
     Path::new(kind(shard), format!("{number:020}"))
@@ -38,8 +38,8 @@
 }
 
 /// Lists the batches written after a version and returns the event for the
-/// shard. A log that holds anything else cannot be relied on, and does not
-/// count as listed.
+/// shard. If an object in the log can't be decoded as a batch, the whole log
+/// is unusable and the listing counts as failed.
 pub fn list(store: &impl Store, shard: u32, after: u64) -> Event {
     let Ok(changes) = store.changes(&kind(shard), Version(after), Duration::ZERO) else {
         return Event::Unlisted;
@@ -54,11 +54,11 @@
     }
 }
 
-/// Deletes an old batch; one that stays for now is no harm.
+/// Deletes an old batch. A batch that remains for now is harmless.
 ///
 /// # Errors
 ///
-/// As for [`Store::delete`].
+/// Returns the errors of [`Store::delete`].
 pub fn delete(store: &impl Store, shard: u32, number: u64) -> Result<(), Error> {
     store.delete(&path(shard, number), Condition::Always)
 }
--- a/crates/claim/src/command.rs
+++ b/crates/claim/src/command.rs
@@ -1,13 +1,14 @@
-//! What a shard wants done.
+//! The commands that a shard issues to its driver.
 
 use cactusnotch_ledger::{Attempt, Link};
 
 use crate::{Answer, Batch};
 
-/// What a shard wants done. At most one of `Put` and `List` is out at a time.
+/// A command of a shard to its driver. At most one `Put` or `List` is in
+/// flight at a time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Command {
-    /// Creates a batch under a number if there is none.
+    /// Creates a batch under a number unless one exists there.
     Put {
         /// The number.
         number: u64,
@@ -19,17 +20,16 @@
         /// The version.
         after: u64,
     },
-    /// Deletes a batch that is older than keys are remembered; a failure does
-    /// no harm.
+    /// Deletes a batch whose claims have all expired. A failure is harmless.
     Delete {
         /// The number.
         number: u64,
     },
     /// Answers a claim.
     Answer {
-        /// Where the claim came from.
+        /// The connection from which the claim came.
         link: Link,
-        /// The attempt that the claim named.
+        /// The attempt named in the claim.
         attempt: Attempt,
         /// The answer.
         answer: Answer,
--- a/crates/claim/src/event.rs
+++ b/crates/claim/src/event.rs
@@ -1,29 +1,29 @@
-//! What a shard is told.
+//! The events that drive a shard.
 
 use cactusnotch_ledger::Link;
 
 use crate::Claim;
 use crate::batch::Entry;
 
-/// How a write ended.
+/// The result of a write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Written {
-    /// The batch was created, at this version of the platform.
+    /// The batch was created at this version of the platform.
     Created(u64),
-    /// The number was taken; nothing was written.
+    /// The number is already in use; nothing was written.
     Conflict,
     /// The platform refused the call; nothing was written.
     Refused,
-    /// No answer came; the batch may or may not have been created.
+    /// No answer arrived; the batch may or may not have been created.
     Unanswered,
 }
 
-/// What a shard is told.
+/// An event that drives a shard.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// An entry, this one or a peer, claims a key.
+    /// This entry or a peer claims a key.
     Ask {
-        /// Where the answer goes; the driver chooses the number.
+        /// The connection for the answer, numbered by the driver.
         link: Link,
         /// The claim.
         claim: Claim,
@@ -34,11 +34,11 @@
     Listed {
         /// The version up to which the entries are complete.
         version: u64,
-        /// The entries written since the version that was asked for.
+        /// The entries written since the requested version.
         entries: Vec<Entry>,
     },
     /// A [`Command::List`](crate::Command::List) failed.
     Unlisted,
-    /// The time that [`Shard::wake`](crate::Shard::wake) told has come.
+    /// The time returned by [`Shard::wake`](crate::Shard::wake) is reached.
     Tick,
 }
--- a/crates/claim/src/kind.rs
+++ b/crates/claim/src/kind.rs
@@ -1,4 +1,4 @@
-//! What a key says of itself, and which way it goes.
+//! The kinds of keys, and the mode by which each kind is handled.
 
 use std::time::{Duration, SystemTime};
 
@@ -13,22 +13,22 @@
 use crate::ticket::{self, Signer};
 use crate::{Options, ticket::PREFIX};
 
-/// The version of a UUID that begins with its time.
+/// The UUID version that begins with a timestamp.
 const TIMED_VERSION: usize = 7;
 
-/// What a key says of itself.
+/// The kind of a key, determined from its text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Kind {
-    /// It is a signed ticket.
+    /// A signed ticket.
     Ticket,
-    /// It is a UUID of version 7, made at this time by the caller's clock.
+    /// A UUID of version 7, created at this time by the caller's clock.
     Timed(SystemTime),
-    /// It says nothing of its age.
+    /// A key without a timestamp.
     Bare,
 }
 
 impl Kind {
-    /// Returns what `key` says of itself.
+    /// Returns the kind of `key`.
     #[must_use]
     pub fn of(key: &Key) -> Self {
         if key.as_str().starts_with(PREFIX) {
@@ -45,53 +45,53 @@
     }
 }
 
-/// Whether keys are taken that do not say how old they are.
+/// Whether keys without a timestamp are accepted.
 ///
-/// A bare key is remembered for the lifetime of keys since it was first used.
-/// Used again after that it cannot be told from a new one, and runs. Where
-/// that must not be, bare keys are refused.
+/// A bare key is retained for the lifetime of keys, counted from its first
+/// use. If it is used again later, it can't be distinguished from a new key
+/// and its request runs again. Refuse bare keys where this is unacceptable.
 #[number]
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Bare {
-    /// They are taken, and run again if used again after their lifetime.
+    /// Accepts them. A key that is reused after its lifetime runs again.
     #[display("accept")]
     Accept,
-    /// They are refused.
+    /// Refuses them.
     #[default]
     #[display("refuse")]
     Refuse,
 }
 
-/// How the agent that may run a request is found.
+/// How the agent that may run a request is determined.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Mode {
-    /// The key is claimed.
+    /// The key is claimed in the platform.
     Claim,
     /// The ticket names the agent.
     Ticket(Terms),
 }
 
-/// Why a key is refused.
+/// The reason for refusing a key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Error, From)]
 pub enum Refusal {
-    /// The key does not say how old it is.
+    /// The key carries no timestamp.
     #[display("key: neither a ticket nor a UUID of version 7")]
     Bare,
-    /// The key is older than keys are remembered.
+    /// The key is older than the lifetime of keys.
     #[display("key: older than keys are remembered")]
     Stale,
-    /// The key claims to be made in the future.
+    /// The timestamp of the key is in the future.
     #[display("key: made in the future")]
     Early,
-    /// The ticket is refused.
+    /// The ticket is not accepted.
     #[from]
     Ticket(ticket::Refusal),
 }
 
 impl Refusal {
-    /// Returns what the refusal says of the request: one whose key was good
-    /// at another time may have run then.
+    /// Returns the outcome of the refused request. If its key was valid at
+    /// another time, the request may have run then.
     #[must_use]
     pub const fn outcome(self) -> Outcome {
         match self {
@@ -102,12 +102,12 @@
     }
 }
 
-/// Returns the way of a key of a non-idempotent request that came at `wall`.
+/// Returns the mode for the key of a non-idempotent request received at `wall`.
 ///
 /// # Errors
 ///
-/// The [`Refusal`] of a key that is forged, foreign, too old, or bare where
-/// bare keys are refused.
+/// Returns a [`Refusal`] if the key is forged, foreign, too old or too early,
+/// or if it is bare and bare keys are refused.
 pub fn mode(
     key: &Key,
     organisation: &Organisation,
--- a/crates/claim/src/lib.rs
+++ b/crates/claim/src/lib.rs
@@ -1,12 +1,12 @@
-//! Agreement on the one attempt that holds the key of a non-idempotent
+//! Agreement on the single attempt that holds the key of a non-idempotent
 //! request.
 //!
-//! There are two ways. A key that the caller chose is claimed in the platform
-//! before dispatch: each [`Shard`] gathers claims and appends them as one
-//! batch to a numbered log, where creating the next number only if it is
-//! absent keeps two writers from granting the same key. A [`Ticket`] was
-//! signed beforehand and names the one agent that remembers it, so it needs no
-//! call to the platform at all. [`Kind`] tells which way a key goes.
+//! There are two modes. A key chosen by the caller is claimed in the platform
+//! before dispatch: each [`Shard`] collects claims and appends them as one
+//! batch to a numbered log. The next number is created only if it is absent,
+//! which prevents two writers from granting the same key. A [`Ticket`] is
+//! signed in advance and names the only agent that records its use, so it
+//! needs no call to the platform. [`Kind`] determines the mode of a key.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/claim/src/log.rs
+++ b/crates/claim/src/log.rs
@@ -1,4 +1,4 @@
-//! What the batches of a log say together.
+//! The log of a shard, reduced to the current holder of each key.
 
 use std::collections::VecDeque;
 
@@ -7,37 +7,37 @@
 use crate::batch::{Batch, Entry};
 use crate::{Options, Record};
 
-/// How many tables the claims of one lifetime are spread over.
+/// The number of tables into which the claims of one lifetime are divided.
 const PERIODS: u32 = 32;
 
-/// Who holds a key.
+/// The current holder of a key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Held {
     pub(crate) digest: u64,
     pub(crate) holder: Holder,
 }
 
-/// What a record does to a key.
+/// The effect of a record on its key.
 pub(crate) enum Effect<'a> {
-    /// It takes the key.
-    Takes,
-    /// It repeats what is so.
-    Stands,
-    /// Somebody else holds the key.
-    Loses(&'a Held),
+    /// The record's attempt becomes the holder.
+    Granted,
+    /// The record's attempt already holds the key.
+    Unchanged,
+    /// Another attempt holds the key.
+    Rejected(&'a Held),
 }
 
-/// The claims of a log, folded in the order of their numbers.
+/// The claims of a log, applied in the order of the batch numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Log {
     held: Generations<u128, Held>,
-    /// The numbers of the batches and when each was made.
+    /// The number of each batch and its creation time in milliseconds.
     batches: VecDeque<(u64, u64)>,
-    /// The number that the next batch will have.
+    /// The number of the next batch.
     pub(crate) next: u64,
-    /// The version up to which all batches are known.
+    /// The version up to which all batches were read.
     pub(crate) version: u64,
-    /// The latest time that a batch was made at.
+    /// The latest creation time of a batch.
     latest_ms: u64,
 }
 
@@ -52,22 +52,22 @@
         }
     }
 
-    /// Tells what `record` would do to its key.
+    /// Returns the effect that `record` would have on its key.
     pub(crate) fn effect(&self, record: &Record) -> Effect<'_> {
         match self.held.get(&record.fingerprint.as_u128()) {
-            None => Effect::Takes,
-            Some(held) if held.holder.attempt == record.holder.attempt => Effect::Stands,
-            Some(held) if held.digest != record.digest => Effect::Loses(held),
-            Some(held) if record.from == Some(held.holder.attempt) => Effect::Takes,
-            Some(held) => Effect::Loses(held),
+            None => Effect::Granted,
+            Some(held) if held.holder.attempt == record.holder.attempt => Effect::Unchanged,
+            Some(held) if held.digest != record.digest => Effect::Rejected(held),
+            Some(held) if record.from == Some(held.holder.attempt) => Effect::Granted,
+            Some(held) => Effect::Rejected(held),
         }
     }
 
-    /// Appends a batch that stands in the platform under the next number.
+    /// Appends a batch that is stored in the platform under the next number.
     pub(crate) fn append(&mut self, batch: &Batch, version: u64) {
         self.latest_ms = self.latest_ms.max(batch.made_ms);
         for record in &batch.records {
-            if matches!(self.effect(record), Effect::Takes) {
+            if matches!(self.effect(record), Effect::Granted) {
                 let held = Held {
                     digest: record.digest,
                     holder: record.holder.clone(),
@@ -81,11 +81,11 @@
         self.version = self.version.max(version);
     }
 
-    /// Appends what a listing brought, and returns the batches that were new.
+    /// Appends the batches of a listing, and returns those that were new.
     ///
-    /// A number that was deleted can be created again by a writer that was
-    /// paused for long. Such a batch has a later version than the numbers
-    /// that follow it, and does not count.
+    /// A writer that was paused for a long time can create a deleted number
+    /// again. Such a batch has a later version than the numbers that follow
+    /// it, and is ignored.
     pub(crate) fn extend(&mut self, version: u64, mut entries: Vec<Entry>) -> Vec<Entry> {
         entries.sort_by_key(|entry| entry.number);
         let mut lowest = u64::MAX;
@@ -105,19 +105,19 @@
         entries
     }
 
-    /// Forgets the claims that are older than `options` keeps them.
+    /// Removes the claims older than the retention in `options`.
     pub(crate) fn expire(&mut self, wall_ms: u64, options: &Options) {
         let now = Age(wall_ms);
         while self.held.expire(now, options.retention()).is_some() {}
     }
 
-    /// Returns the number of the oldest batch if it need not be kept.
+    /// Removes the oldest batch if its retention is over, and returns its number.
     ///
-    /// It is called only after an append, so that the latest batch is always
-    /// kept and numbers never start again.
+    /// Call it only after an append: the latest batch then always remains, and
+    /// numbers never restart from zero.
     pub(crate) fn trim(&mut self, wall_ms: u64, options: &Options) -> Option<u64> {
         let (number, made_ms) = *self.batches.front()?;
-        let old = Age(wall_ms).since(Age(made_ms)) > options.kept();
+        let old = Age(wall_ms).since(Age(made_ms)) > options.batch_retention();
         if !old {
             return None;
         }
--- a/crates/claim/src/options.rs
+++ b/crates/claim/src/options.rs
@@ -1,48 +1,49 @@
-//! The times and counts of claims.
+//! Time and size limits for claims.
 
 use std::time::Duration;
 
-/// The times and counts of claims.
+/// Time and size limits for claims.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long a key is remembered after it was first claimed; not longer
-    /// than agents remember their runs.
+    /// How long a key is retained after its first claim. It must not exceed
+    /// the time for which agents retain their runs.
     pub lifetime: Duration,
-    /// By how much the wall clocks of entries may differ.
+    /// The maximum difference between the wall clocks of two entries.
     pub skew: Duration,
-    /// How long claims are gathered into one batch.
+    /// How long claims are collected into one batch.
     pub window: Duration,
-    /// How many claims one batch holds at most.
+    /// The maximum number of claims in a batch.
     pub batch: usize,
-    /// How many claims wait for a batch at most.
+    /// The maximum number of claims that wait for a batch.
     pub queue: usize,
     /// How long a claim waits for the platform before it is refused.
     pub time_budget: Duration,
-    /// How long to wait before a failed call is made again, at first.
+    /// The delay before the first retry of a failed call.
     pub backoff: Duration,
-    /// How long to wait before a failed call is made again, at most.
+    /// The maximum delay before a retry of a failed call.
     pub backoff_limit: Duration,
 }
 
 impl Options {
-    /// Returns how long a recorded claim is kept: its key's lifetime, and
-    /// what the clocks of two entries may differ by.
+    /// Returns how long a recorded claim is retained: the lifetime of its key
+    /// plus twice the clock skew.
     #[must_use]
     pub fn retention(&self) -> Duration {
         self.lifetime + 2 * self.skew
     }
 
-    /// Returns how long a batch is kept: until every entry has forgotten its
+    /// Returns how long a batch is retained: until every entry has expired its
     /// claims.
     #[must_use]
-    pub fn kept(&self) -> Duration {
+    pub fn batch_retention(&self) -> Duration {
         self.retention() + self.retention() / 8
     }
 
-    /// Returns how long what was seen of the end of a log is relied on: well
-    /// before a batch that was appended meanwhile can have been deleted.
+    /// Returns how long an observed end of the log remains valid. This is well
+    /// below the time after which a batch appended in the meantime can be
+    /// deleted.
     #[must_use]
-    pub fn reliance(&self) -> Duration {
+    pub fn log_validity(&self) -> Duration {
         self.lifetime / 2
     }
 }
--- a/crates/claim/src/record.rs
+++ b/crates/claim/src/record.rs
@@ -1,4 +1,4 @@
-//! A claim as it is recorded in the platform.
+//! The stored form of a claim.
 
 use cactusnotch_base::name::Endpoint;
 use cactusnotch_base::number::Incarnation;
@@ -9,7 +9,7 @@
 
 use crate::Claim;
 
-/// A claim as it is recorded in the platform, with a hash in place of the key.
+/// A claim as stored in the platform, with a hash in place of the key.
 #[message]
 #[derive(Eq, Hash)]
 #[serde(from = "Compact", into = "Compact")]
@@ -18,9 +18,9 @@
     pub fingerprint: Uuid,
     /// A hash of the payload.
     pub digest: u64,
-    /// The attempt and the one agent that may start it.
+    /// The attempt, and the only agent that may start it.
     pub holder: Holder,
-    /// The attempt that held the key and that provably never starts.
+    /// The previous holder of the key, which provably never starts.
     pub from: Option<Attempt>,
 }
 
@@ -35,7 +35,8 @@
     }
 }
 
-/// A record as a JSON array, since a log holds very many of them.
+/// A record serialized as a JSON array without field names, to keep the log
+/// small.
 #[derive(Serialize, Deserialize)]
 struct Compact(
     Uuid,
--- a/crates/claim/src/shard.rs
+++ b/crates/claim/src/shard.rs
@@ -1,4 +1,4 @@
-//! One writer of one shard's log.
+//! A writer of the log of one shard.
 
 use std::time::{Duration, SystemTime};
 
@@ -11,10 +11,10 @@
 use crate::log::{Effect, Log};
 use crate::{Answer, Claim, Command, Event, Options, Record};
 
-/// How many old batches are deleted for each one that is appended.
+/// The maximum number of old batches deleted for each appended batch.
 const TRIMMED_PER_BATCH: usize = 2;
 
-/// A claim that has no answer yet.
+/// A claim without an answer so far.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Waiting {
     link: Link,
@@ -22,14 +22,14 @@
     since: Instant,
 }
 
-/// The call to the platform that is out.
+/// The pending call to the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Call {
     Put { sent: Instant },
     List { sent: Instant },
 }
 
-/// A batch whose fate is not known yet, with the claims that wait for it.
+/// A batch whose write is unconfirmed, with the claims that wait for it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Flight {
     number: u64,
@@ -37,30 +37,30 @@
     waiting: Vec<Waiting>,
 }
 
-/// One writer of one shard's log.
+/// A writer of the log of one shard.
 ///
-/// Any number of entries may write the same shard at once: safety rests on
-/// the log alone, and who is asked first is a hint that keeps them from
-/// racing. A claim is granted only after its batch was seen in the log.
+/// Any number of entries may write the same shard concurrently. Safety depends
+/// on the log alone; the assignment of a preferred writer only reduces races.
+/// A claim is granted only after its batch was confirmed to be in the log.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Shard {
     options: Options,
     writer: Uuid,
     count: u64,
     log: Log,
-    /// When the end of the log was last known to be where it is now.
-    proven: Option<Instant>,
+    /// When the end of the log was last confirmed: the send time of that call.
+    confirmed_at: Option<Instant>,
     waiting: Vec<Waiting>,
     flight: Option<Flight>,
     call: Option<Call>,
-    /// When the next call may be made after one failed.
+    /// The earliest time of the next call after a failure.
     not_before: Option<Instant>,
     backoff: Duration,
 }
 
 impl Shard {
-    /// Creates a writer that knows nothing of the log yet. `writer` is a
-    /// random name that no other writer ever had.
+    /// Creates a writer that has not read the log yet. `writer` is a random
+    /// identifier that was never used by another writer.
     #[must_use]
     pub fn new(options: Options, writer: Uuid) -> Self {
         Self {
@@ -68,7 +68,7 @@
             backoff: options.backoff,
             writer,
             count: 0,
-            proven: None,
+            confirmed_at: None,
             waiting: Vec::new(),
             flight: None,
             call: None,
@@ -77,17 +77,21 @@
         }
     }
 
-    /// Returns the number of keys that are remembered.
+    /// Returns the number of retained keys.
     #[must_use]
     pub fn keys(&self) -> usize {
         self.log.keys()
     }
 
-    /// Returns when [`Event::Tick`] is due, if anything waits.
+    /// Returns when [`Event::Tick`] is due, or `None` if no claim waits and no
+    /// retry is due.
     #[must_use]
     pub fn wake(&self) -> Option<Instant> {
-        let flying = self.flight.iter().flat_map(|flight| &flight.waiting);
-        let oldest = flying.chain(&self.waiting).map(|claim| claim.since).min();
+        let in_flight = self.flight.iter().flat_map(|flight| &flight.waiting);
+        let oldest = in_flight
+            .chain(&self.waiting)
+            .map(|claim| claim.since)
+            .min();
         let given_up = oldest.map(|since| since + self.options.time_budget);
         if self.call.is_some() {
             return given_up;
@@ -99,8 +103,8 @@
         [given_up, flush].into_iter().flatten().min()
     }
 
-    /// Takes one event at `now`, which is `wall` by the wall clock, and
-    /// returns what is to be done, in order.
+    /// Handles an event at `now`, which is `wall` by the wall clock, and returns
+    /// the commands to execute, in order.
     #[must_use]
     pub fn step(&mut self, event: Event, now: Instant, wall: SystemTime) -> Vec<Command> {
         let wall_ms = milliseconds(wall);
@@ -124,7 +128,7 @@
             record: Record::from(claim),
             since: now,
         };
-        match decided(&self.log, &claim.record) {
+        match outcome(&self.log, &claim.record) {
             Some(answer) => commands.push(answer_to(&claim, answer)),
             None if self.waiting.len() >= self.options.queue => {
                 commands.push(answer_to(&claim, Answer::Unavailable));
@@ -146,7 +150,7 @@
         match written {
             Written::Created(version) if self.is_reliable(now) => {
                 self.backoff = self.options.backoff;
-                self.proven = Some(sent);
+                self.confirmed_at = Some(sent);
                 if let Some(flight) = self.flight.take() {
                     self.log.append(&flight.batch, version);
                     self.waiting.splice(0..0, flight.waiting);
@@ -158,9 +162,9 @@
                 self.requeue();
                 self.fail(now);
             }
-            Written::Created(_) | Written::Conflict => self.proven = None,
+            Written::Created(_) | Written::Conflict => self.confirmed_at = None,
             Written::Unanswered => {
-                self.proven = None;
+                self.confirmed_at = None;
                 self.fail(now);
             }
         }
@@ -179,21 +183,21 @@
             return;
         };
         self.backoff = self.options.backoff;
-        self.proven = Some(sent);
+        self.confirmed_at = Some(sent);
         let appended = self.log.extend(version, entries);
         if let Some(flight) = &self.flight {
-            let landed = appended
+            let recorded = appended
                 .iter()
                 .any(|entry| entry.batch.id == flight.batch.id);
-            if landed || self.log.next != flight.number || flight.waiting.is_empty() {
+            if recorded || self.log.next != flight.number || flight.waiting.is_empty() {
                 self.requeue();
             }
         }
         self.answer_waiting(commands);
     }
 
-    /// Puts the claims of the batch in flight back; those that it recorded
-    /// are then answered from the log.
+    /// Returns the claims of the batch in flight to the queue. Those that are in
+    /// the log are then answered from it.
     fn requeue(&mut self) {
         if let Some(flight) = self.flight.take() {
             self.waiting.splice(0..0, flight.waiting);
@@ -206,19 +210,19 @@
         self.backoff = (self.backoff * 2).min(self.options.backoff_limit);
     }
 
-    /// Answers the claims about which the log has decided.
+    /// Answers the claims whose outcome is determined by the log.
     fn answer_waiting(&mut self, commands: &mut Vec<Command>) {
         let log = &self.log;
         self.waiting.retain(|claim| {
-            let answer = decided(log, &claim.record);
+            let answer = outcome(log, &claim.record);
             let waits = answer.is_none();
             commands.extend(answer.map(|answer| answer_to(claim, answer)));
             waits
         });
     }
 
-    /// Refuses the claims that have waited for too long. Those in flight may
-    /// be recorded yet, but they are never granted after this.
+    /// Refuses the claims whose time budget is exhausted. A claim in flight may
+    /// still be recorded, but it is never granted after this.
     fn give_up(&mut self, now: Instant, commands: &mut Vec<Command>) {
         let time_budget = self.options.time_budget;
         let mut keep = |claim: &Waiting| {
@@ -234,11 +238,11 @@
         }
     }
 
-    /// Makes the next call to the platform, if one is due.
+    /// Issues the next call to the platform, if one is due.
     fn call(&mut self, now: Instant, wall_ms: u64, commands: &mut Vec<Command>) {
-        let held_back = self.not_before.is_some_and(|then| now < then);
+        let backing_off = self.not_before.is_some_and(|then| now < then);
         let due = self.flight.is_some() || self.flush_at().is_some_and(|then| now >= then);
-        if self.call.is_some() || held_back || !due {
+        if self.call.is_some() || backing_off || !due {
             return;
         }
         self.not_before = None;
@@ -264,14 +268,15 @@
         });
     }
 
-    /// Tells whether the end of the log is where it was last seen, unless
-    /// another writer appended to it meanwhile.
+    /// Returns whether the last observed end of the log may still be used for a
+    /// write. Another writer may have appended since; the write then conflicts.
     fn is_reliable(&self, now: Instant) -> bool {
-        self.proven
-            .is_some_and(|proven| now.saturating_duration_since(proven) < self.options.reliance())
+        self.confirmed_at.is_some_and(|confirmed_at| {
+            now.saturating_duration_since(confirmed_at) < self.options.log_validity()
+        })
     }
 
-    /// Returns when the claims that wait are to be written.
+    /// Returns when the waiting claims are to be written.
     fn flush_at(&self) -> Option<Instant> {
         let oldest = self.waiting.iter().map(|claim| claim.since).min()?;
         let full = self.waiting.len() >= self.options.batch;
@@ -283,16 +288,18 @@
         Some(gathered.max(self.not_before.unwrap_or(gathered)))
     }
 
-    /// Takes the claims of the next batch, the first for each key.
+    /// Removes the claims of the next batch from the queue, one for each key.
     fn batch(&mut self, wall_ms: u64) -> Flight {
         self.count += 1;
-        let mut flying: Vec<Waiting> = Vec::new();
+        let mut in_flight: Vec<Waiting> = Vec::new();
         let mut later = Vec::new();
         let mut fingerprints = cactusnotch_base::Table::new();
         for claim in std::mem::take(&mut self.waiting) {
             let fingerprint = claim.record.fingerprint;
-            if flying.len() < self.options.batch && fingerprints.insert(fingerprint, ()).is_none() {
-                flying.push(claim);
+            if in_flight.len() < self.options.batch
+                && fingerprints.insert(fingerprint, ()).is_none()
+            {
+                in_flight.push(claim);
             } else {
                 later.push(claim);
             }
@@ -302,7 +309,7 @@
             writer: self.writer,
             count: self.count,
         };
-        let records = flying.iter().map(|claim| claim.record.clone()).collect();
+        let records = in_flight.iter().map(|claim| claim.record.clone()).collect();
         Flight {
             number: self.log.next,
             batch: Batch {
@@ -310,18 +317,18 @@
                 made_ms: wall_ms,
                 records,
             },
-            waiting: flying,
+            waiting: in_flight,
         }
     }
 }
 
-/// Returns the answer to a claim that needs no write.
-fn decided(log: &Log, record: &Record) -> Option<Answer> {
+/// Returns the answer to a claim if the log determines it without a write.
+fn outcome(log: &Log, record: &Record) -> Option<Answer> {
     match log.effect(record) {
-        Effect::Takes => None,
-        Effect::Stands => Some(Answer::Granted),
-        Effect::Loses(held) if held.digest != record.digest => Some(Answer::Mismatch),
-        Effect::Loses(held) => Some(Answer::Held(held.holder.clone())),
+        Effect::Granted => None,
+        Effect::Unchanged => Some(Answer::Granted),
+        Effect::Rejected(held) if held.digest != record.digest => Some(Answer::Mismatch),
+        Effect::Rejected(held) => Some(Answer::Held(held.holder.clone())),
     }
 }
 
--- a/crates/claim/src/ticket.rs
+++ b/crates/claim/src/ticket.rs
@@ -1,4 +1,4 @@
-//! Keys that name the agent which remembers them.
+//! Signed keys that name the agent which may run their request.
 
 use base64::Engine as _;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD as BASE64;
@@ -12,23 +12,23 @@
 use sha2::Sha256;
 use uuid::Uuid;
 
-/// What the keys that are tickets begin with.
+/// The prefix of keys that are tickets.
 pub const PREFIX: &str = "cnt1.";
 
-/// What is signed before the payload, so that no other signature of the
-/// secret is one of a ticket.
+/// The domain separator signed before the payload, so that no other signature
+/// made with the secret is valid for a ticket.
 const DOMAIN: &[u8] = b"cactusnotch ticket 1";
 
-/// The longest ticket that is looked at, in bytes.
+/// The maximum length of a ticket in bytes; longer keys are not parsed.
 const LIMIT: usize = 1024;
 
-/// A key that names the agent which may run its request.
+/// A signed key that names the agent which may run its request.
 #[message]
 #[derive(Eq, Hash)]
 pub struct Ticket {
     /// The organisation that may use the ticket.
     pub organisation: Organisation,
-    /// The agent, and an age that it had reported before the ticket's issue.
+    /// The agent, with an age that it reported before the ticket was issued.
     pub terms: Terms,
     /// When the ticket was issued, in milliseconds since the Unix epoch.
     pub issued_ms: u64,
@@ -38,7 +38,7 @@
     pub nonce: Uuid,
 }
 
-/// Why a ticket is refused.
+/// The reason for refusing a ticket.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Display, Error)]
 pub enum Refusal {
     /// The ticket was not signed with the secret.
@@ -53,9 +53,9 @@
 }
 
 impl Refusal {
-    /// Returns what the refusal says of the request: under a forged or a
-    /// foreign ticket nothing of this caller ever ran, but under an expired
-    /// one it may have run before.
+    /// Returns the outcome of the refused request. With a forged or foreign
+    /// ticket no request of this caller ever ran; with an expired ticket the
+    /// request may have run earlier.
     #[must_use]
     pub const fn outcome(self) -> Outcome {
         match self {
@@ -65,7 +65,7 @@
     }
 }
 
-/// Signs tickets and checks them.
+/// Signs and verifies tickets.
 #[derive(Clone)]
 pub struct Signer {
     keyed: Hmac<Sha256>,
@@ -78,40 +78,40 @@
 }
 
 impl Signer {
-    /// Creates a signer from the secret that all entries share.
+    /// Creates a signer from the secret shared by all entries.
     ///
     /// # Panics
     ///
-    /// Never: secrets of all lengths are taken.
+    /// Never panics: HMAC accepts secrets of any length.
     #[must_use]
     pub fn new(secret: &[u8]) -> Self {
         let mut keyed =
-            Hmac::<Sha256>::new_from_slice(secret).expect("HMAC takes keys of all lengths");
+            Hmac::<Sha256>::new_from_slice(secret).expect("HMAC accepts keys of any length");
         keyed.update(DOMAIN);
         Self { keyed }
     }
 
-    /// Returns the ticket as a key.
+    /// Signs the ticket and returns it as a key.
     ///
     /// # Panics
     ///
-    /// Never: a ticket has nothing that CBOR cannot hold.
+    /// Never panics: every ticket can be serialized as CBOR.
     #[must_use]
     pub fn sign(&self, ticket: &Ticket) -> Key {
         let mut payload = Vec::new();
-        ciborium::into_writer(ticket, &mut payload).expect("a ticket can be written as CBOR");
+        ciborium::into_writer(ticket, &mut payload).expect("a ticket can be serialized as CBOR");
         let signature = self.keyed.clone().chain_update(&payload).finalize();
         let payload = BASE64.encode(payload);
         let signature = BASE64.encode(signature.into_bytes());
         Key::new(format!("{PREFIX}{payload}.{signature}"))
     }
 
-    /// Returns the ticket that a key is, if it may be used by `organisation`
-    /// at `wall_ms`, in milliseconds since the Unix epoch.
+    /// Verifies that `key` is a ticket that `organisation` may use at `wall_ms`,
+    /// in milliseconds since the Unix epoch, and returns the ticket.
     ///
     /// # Errors
     ///
-    /// The [`Refusal`].
+    /// Returns a [`Refusal`] if the ticket is forged, foreign or expired.
     pub fn check(
         &self,
         key: &Key,
--- a/crates/claim/tests/keys.rs
+++ b/crates/claim/tests/keys.rs
@@ -1,4 +1,4 @@
-//! Tickets and other keys, good and bad.
+//! Valid and invalid tickets, other keys, and the owners of shards.
 
 use std::time::{Duration, SystemTime};
 
--- a/crates/claim/tests/shard.rs
+++ b/crates/claim/tests/shard.rs
@@ -1,4 +1,4 @@
-//! Writers of one log against a platform that fails.
+//! Concurrent writers of one log on a platform that fails.
 
 use std::time::{Duration, SystemTime};
 
@@ -11,7 +11,7 @@
 use cactusnotch_ledger::{Age, Attempt, Holder, Identity, Link, Terms, Window};
 use uuid::Uuid;
 
-/// A platform that holds one log, and the time.
+/// A platform that stores one log, and the simulated time.
 struct Platform {
     log: Vec<Entry>,
     version: u64,
@@ -19,7 +19,7 @@
     wall: SystemTime,
 }
 
-/// What became of a call.
+/// The result of a call.
 #[derive(Clone, Copy, PartialEq)]
 enum Fate {
     Done,
@@ -80,8 +80,7 @@
         Written::Created(version)
     }
 
-    /// Steps a shard until it has nothing to ask of the platform, and returns
-    /// the answers it gave.
+    /// Steps a shard until it has no pending call, and returns its answers.
     fn settle(&mut self, shard: &mut Shard, event: Event, fates: &[Fate]) -> Vec<Answer> {
         let mut fates = fates.iter().copied();
         let mut answers = Vec::new();
@@ -182,7 +181,8 @@
     let mut platform = Platform::new();
     let mut paused = shard(1);
     platform.ask(&mut paused, claim(1, "early"), &[]);
-    // The writer is paused while its next batch is on the way to the platform.
+    // The writer is paused after it issued its next batch and before the
+    // platform receives it.
     let link = Link(1);
     let late = claim(2, "key");
     let event = Event::Ask { link, claim: late };
@@ -192,7 +192,7 @@
     let [Command::Put { number, batch }] = &put[..] else {
         panic!("expected one batch, got {put:?}");
     };
-    // Another one takes over, and in time deletes the number in question.
+    // Another writer takes over and later deletes that number.
     let mut owner = shard(2);
     platform.ask(&mut owner, claim(3, "other"), &[]);
     for round in 0..4 {
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -143,7 +143,7 @@
         match terms {
             Some((terms, heard)) => Event::Routed {
                 terms,
-                heard,
+                reported_at: heard,
                 attempt: Attempt(Uuid::new_v4()),
             },
             None => Event::Unroutable,
--- a/crates/entry/src/output.rs
+++ b/crates/entry/src/output.rs
@@ -163,7 +163,7 @@
             "The request cannot be understood",
             StatusCode::BAD_REQUEST,
         ),
-        Reason::Broken(_) | Reason::Silent | Reason::Garbled => (
+        Reason::Broken(_) | Reason::NoAnswer | Reason::Garbled => (
             "broken",
             "The answer broke before its end",
             StatusCode::BAD_GATEWAY,
