--- a/crates/ledger/examples/memory.rs
+++ b/crates/ledger/examples/memory.rs
@@ -1,4 +1,4 @@
-//! Measures what a ledger keeps in memory and the time that its steps take.
+//! Measures the memory of a ledger and the duration of its steps.
 //!
 //! `cargo run --release -p cactusnotch-ledger --example memory`
 #![expect(
@@ -19,10 +19,10 @@
 };
 use uuid::Uuid;
 
-/// The requests a second of one agent: 1,300 over 16 endpoints.
+/// The requests per second of one agent: 1,300 over 16 endpoints.
 const RATE: u64 = 81;
 
-/// What one load does to a ledger.
+/// The load on a ledger.
 struct Load {
     keys: u64,
     pieces: usize,
@@ -32,7 +32,7 @@
 fn main() {
     println!("resident memory over runs that ended, of one agent (lifetime 15 min)");
     println!("keys    answer            resident     counted    a key     step us/run");
-    // Kept to the end, so that no measure reuses what another one freed.
+    // Kept until the end, so that no measurement reuses freed memory.
     let mut ledgers = Vec::new();
     for keys in [20_000, 40_000, 72_900] {
         ledgers.push(measure(&Load {
--- a/crates/ledger/src/admission.rs
+++ b/crates/ledger/src/admission.rs
@@ -1,4 +1,4 @@
-//! Whether an attempt starts, is attached to a run, or is refused.
+//! Decides whether an attempt starts, is attached to a run, or is refused.
 
 use cactusnotch_base::Outcome;
 use cactusnotch_base::number::Sequence;
@@ -7,7 +7,7 @@
 use crate::row::{Listener, Row};
 use crate::{Age, Command, Ledger, Link, Reply, Terms, Window};
 
-/// Why a request is refused and what that says of it.
+/// The reason for refusing a request, and whether the request may have run.
 pub(crate) struct Refusal {
     pub(crate) outcome: Outcome,
     pub(crate) reason: Reason,
@@ -30,22 +30,22 @@
 }
 
 impl Ledger {
-    /// Starts an attempt, or attaches it to the run of its key.
+    /// Starts an attempt, or attaches it to the existing run of its key.
     pub(crate) fn run(&mut self, link: Link, run: &Run, age: Age, commands: &mut Vec<Command>) {
         let listener = Listener {
             link,
             attempt: run.attempt,
             start_by: Some(run.window.start_by),
         };
-        if let Err(refusal) = self.speaks_for(&run.window.terms) {
+        if let Err(refusal) = self.check_target(&run.window.terms) {
             return Self::refuse(link, run.attempt, refusal, commands);
         }
-        if let Some(runner) = self.known(run.attempt, &run.identity, run.repeat) {
+        if let Some(runner) = self.find_run(run.attempt, &run.identity, run.repeat) {
             let matches = self
                 .row(runner)
-                .is_some_and(|row| row.names(&run.identity, run.digest));
+                .is_some_and(|row| row.matches(&run.identity, run.digest));
             if matches {
-                return self.listen(runner, listener, Sequence(0), commands);
+                return self.add_listener(runner, listener, Sequence(0), commands);
             }
         }
         match self.admit(run, age) {
@@ -59,8 +59,8 @@
         }
     }
 
-    /// Tells whether this agent is the one that a key or an attempt names.
-    fn speaks_for(&self, terms: &Terms) -> Result<(), Refusal> {
+    /// Checks that this agent is the one to which a key or an attempt is bound.
+    fn check_target(&self, terms: &Terms) -> Result<(), Refusal> {
         if terms.endpoint != self.endpoint {
             return Err(Refusal::unknown(Reason::Elsewhere));
         }
@@ -70,9 +70,9 @@
         Ok(())
     }
 
-    /// Tells whether everything that started since `window` was granted is
-    /// still remembered.
-    fn remembers(&self, window: &Window, age: Age) -> Result<(), Refusal> {
+    /// Checks that every run started since `window` was granted is still
+    /// recorded.
+    fn check_retained(&self, window: &Window, age: Age) -> Result<(), Refusal> {
         if age > window.terms.age.after(self.options.lifetime) {
             return Err(Refusal::unknown(Reason::Forgotten));
         }
@@ -80,8 +80,11 @@
     }
 
     fn admit(&mut self, run: &Run, age: Age) -> Result<(), Refusal> {
-        self.remembers(&run.window, age)?;
-        if self.known(run.attempt, &run.identity, run.repeat).is_some() {
+        self.check_retained(&run.window, age)?;
+        if self
+            .find_run(run.attempt, &run.identity, run.repeat)
+            .is_some()
+        {
             return Err(Refusal::not_run(Reason::Mismatch));
         }
         if self.tombstones.covers(run.attempt, run.window.start_by) {
@@ -99,12 +102,13 @@
         if run.identity.bytes() > self.options.key_bytes {
             return Err(Refusal::not_run(Reason::Oversized));
         }
-        self.make_room(run.identity.bytes())
+        self.free_space(run.identity.bytes())
             .map_err(Refusal::not_run)
     }
 
-    /// Makes room for one more row, by forgetting what may be run again.
-    fn make_room(&mut self, bytes: usize) -> Result<(), Reason> {
+    /// Frees space for one more row: removes idempotent runs, which may run
+    /// again, and drops answers of ended runs.
+    fn free_space(&mut self, bytes: usize) -> Result<(), Reason> {
         if self.remembered() >= self.options.rows
             && let Some(rows) = self
                 .repeatable
@@ -134,20 +138,23 @@
         }
         debug_assert!(age <= run.window.start_by);
         commands.push(Command::Start(run.attempt));
-        self.listen(run.attempt, listener, Sequence(0), commands);
+        self.add_listener(run.attempt, listener, Sequence(0), commands);
     }
 
-    /// Refuses the target for good, unless its key has started.
+    /// Permanently refuses the target unless its key has started.
     pub(crate) fn tombstone(&mut self, query: &Query, age: Age) -> Reply {
         let (attempt, target) = (query.attempt, query.target.attempt);
         let window = &query.target.window;
-        if let Err(refusal) = self.speaks_for(&window.terms) {
+        if let Err(refusal) = self.check_target(&window.terms) {
             return refused(query, &refusal);
         }
-        if self.known(target, &query.identity, Repeat::Once).is_some() {
+        if self
+            .find_run(target, &query.identity, Repeat::Once)
+            .is_some()
+        {
             return Reply::Started { attempt, target };
         }
-        if let Err(refusal) = self.remembers(window, age) {
+        if let Err(refusal) = self.check_retained(window, age) {
             return refused(query, &refusal);
         }
         self.tombstones.add(target, window.start_by, age);
@@ -165,10 +172,10 @@
     ) {
         let (attempt, target) = (query.attempt, query.target.attempt);
         let window = &query.target.window;
-        if let Err(refusal) = self.speaks_for(&window.terms) {
+        if let Err(refusal) = self.check_target(&window.terms) {
             return Self::refuse(link, attempt, refusal, commands);
         }
-        if let Some(runner) = self.known(target, &query.identity, Repeat::Once) {
+        if let Some(runner) = self.find_run(target, &query.identity, Repeat::Once) {
             let listener = Listener {
                 link,
                 attempt,
@@ -176,14 +183,14 @@
             };
             let matches = self
                 .row(runner)
-                .is_some_and(|row| row.names(&query.identity, query.digest));
+                .is_some_and(|row| row.matches(&query.identity, query.digest));
             if matches {
-                return self.listen(runner, listener, after, commands);
+                return self.add_listener(runner, listener, after, commands);
             }
             let refusal = Refusal::not_run(Reason::Mismatch);
             return Self::refuse(link, attempt, refusal, commands);
         }
-        if let Err(refusal) = self.remembers(window, age) {
+        if let Err(refusal) = self.check_retained(window, age) {
             return Self::refuse(link, attempt, refusal, commands);
         }
         let given_up = age > window.start_by || self.tombstones.covers(target, window.start_by);
--- a/crates/ledger/src/age.rs
+++ b/crates/ledger/src/age.rs
@@ -1,4 +1,4 @@
-//! The age of a process, by its own clock.
+//! The age of a process, measured by its own clock.
 
 use std::time::Duration;
 
@@ -8,24 +8,24 @@
 /// The time since an incarnation started, in milliseconds of its own
 /// monotonic clock.
 ///
-/// An age that was learned from the process is a lower bound of its age now,
-/// so limits reckoned from it are early and never late.
+/// An age reported by the process is a lower bound of its current age, so
+/// limits computed from it can be too early but never too late.
 #[number]
 #[derive(Display, From, Into)]
 #[serde(transparent)]
 pub struct Age(pub u64);
 
 impl Age {
-    /// The age that is never reached.
+    /// An age that is never reached.
     pub const NEVER: Self = Self(u64::MAX);
 
-    /// Returns the age that follows this one by `time`.
+    /// Returns this age plus `time`.
     #[must_use]
     pub fn after(self, time: Duration) -> Self {
         Self(self.0.saturating_add(milliseconds(time)))
     }
 
-    /// Returns the time from `earlier` to this age, or zero.
+    /// Returns the time from `earlier` to this age, or zero if `earlier` is later.
     #[must_use]
     pub fn since(self, earlier: Self) -> Duration {
         Duration::from_millis(self.0.saturating_sub(earlier.0))
--- a/crates/ledger/src/answer.rs
+++ b/crates/ledger/src/answer.rs
@@ -1,20 +1,21 @@
-//! The pieces of an answer, kept to be sent again.
+//! The pieces of an answer, kept for retransmission.
 
 use std::collections::VecDeque;
 
 use bytes::{Bytes, BytesMut};
 use cactusnotch_base::number::Sequence;
 
-/// What a kept piece takes beside its bytes, as the endpoint made it.
+/// The memory overhead of a piece in its own allocation, in bytes.
 const OVERHEAD: usize = 80;
 
-/// What a kept piece takes beside its bytes, as a part of the whole answer.
+/// The memory overhead of a piece in the shared allocation of a packed answer,
+/// in bytes.
 const PACKED_OVERHEAD: usize = 32;
 
-/// The latest pieces of an answer.
+/// The most recent pieces of an answer.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Answer {
-    /// How many pieces the run has made.
+    /// The number of pieces produced by the run.
     made: Sequence,
     pieces: VecDeque<Bytes>,
     bytes: usize,
@@ -22,7 +23,7 @@
 }
 
 impl Answer {
-    /// Adds a piece and returns its number.
+    /// Appends a piece and returns its number.
     pub(crate) fn push(&mut self, data: Bytes) -> Sequence {
         self.bytes += data.len() + OVERHEAD;
         self.pieces.push_back(data);
@@ -39,8 +40,8 @@
         self.bytes
     }
 
-    /// Returns the pieces that follow `after`, or nothing if some of them are
-    /// not kept or were never made.
+    /// Returns the pieces that follow `after`, or `None` if some of them were
+    /// dropped or `after` was never produced.
     pub(crate) fn following(
         &self,
         after: Sequence,
@@ -54,8 +55,8 @@
         Some(numbers.zip(self.pieces.iter().skip(skipped)))
     }
 
-    /// Drops the oldest pieces until at most `limit` bytes are left, and
-    /// returns how many bytes were dropped.
+    /// Drops the oldest pieces until at most `limit` bytes remain, and returns
+    /// the number of bytes dropped.
     pub(crate) fn shrink(&mut self, limit: usize) -> usize {
         let before = self.bytes;
         let overhead = if self.packed {
@@ -75,8 +76,8 @@
         before - self.bytes
     }
 
-    /// Puts the pieces of an answer that has ended into one allocation, and
-    /// returns how many bytes that saved.
+    /// Moves the pieces of a finished answer into one allocation, and returns
+    /// the number of bytes saved.
     pub(crate) fn pack(&mut self) -> usize {
         if self.packed || self.pieces.len() < 2 {
             return 0;
--- a/crates/ledger/src/attempt.rs
+++ b/crates/ledger/src/attempt.rs
@@ -1,4 +1,4 @@
-//! The identity of an attempt.
+//! The identifier of an attempt.
 
 use cactusnotch_derive::identifier;
 use derive_more::{Display, From, Into};
@@ -6,8 +6,8 @@
 
 /// One attempt at a request: at most one dispatch to one agent.
 ///
-/// An entry also names its conversation with an agent by an attempt, when it
-/// asks for the pieces of a run that another attempt started.
+/// An entry also uses an attempt as the identifier of its conversation with an
+/// agent when it requests the pieces of a run started by another attempt.
 #[identifier]
 #[derive(Copy, Display, From, Into)]
 #[serde(transparent)]
--- a/crates/ledger/src/command.rs
+++ b/crates/ledger/src/command.rs
@@ -1,8 +1,8 @@
-//! What a ledger wants done.
+//! The commands that a ledger issues to its driver.
 
 use crate::{Attempt, Link, Reply};
 
-/// What a ledger wants done.
+/// A command of a ledger to its driver.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Command {
     /// Sends a reply to an entry.
@@ -12,10 +12,10 @@
         /// The reply.
         reply: Reply,
     },
-    /// Starts the attempt whose frame is being stepped through, at once.
+    /// Immediately starts the attempt whose frame is being handled.
     Start(Attempt),
     /// Cancels the run of an attempt at the endpoint.
     Stop(Attempt),
-    /// Everything that ran has ended after [`Event::Drain`](crate::Event::Drain).
+    /// All runs have ended after [`Event::Drain`](crate::Event::Drain).
     Drained,
 }
--- a/crates/ledger/src/delivery.rs
+++ b/crates/ledger/src/delivery.rs
@@ -1,4 +1,4 @@
-//! The pieces of answers, from the endpoint to the entries that listen.
+//! The delivery of answers from the endpoint to the listening entries.
 
 use bytes::Bytes;
 use cactusnotch_base::number::Sequence;
@@ -8,13 +8,14 @@
 use crate::row::{Listener, Row, State};
 use crate::{Age, Attempt, Command, Ledger, Reply};
 
-/// The part of the bytes that is made free at a time, so that a full ledger
-/// does not look through its rows for each piece.
+/// The divisor of the byte limit that gives the space freed at a time, so that
+/// a full ledger does not scan its rows for each piece.
 const SLACK: usize = 8;
 
 impl Ledger {
-    /// Sends a listener what is kept of a run, and what will come of it.
-    pub(crate) fn listen(
+    /// Sends a listener the stored pieces of a run, and registers it for those
+    /// that follow.
+    pub(crate) fn add_listener(
         &mut self,
         runner: Attempt,
         listener: Listener,
@@ -40,15 +41,15 @@
                 data: data.clone(),
             },
         }));
-        if let Some(reply) = last(row, attempt) {
+        if let Some(reply) = final_reply(row, attempt) {
             commands.push(Command::Send { link, reply });
         }
         if let Some(row) = self.running.get_mut(&runner) {
-            row.listen(listener);
+            row.add_listener(listener);
         }
     }
 
-    /// Keeps a piece and sends it to those who listen.
+    /// Stores a piece and sends it to the listeners.
     pub(crate) fn piece(&mut self, runner: Attempt, data: &Bytes, commands: &mut Vec<Command>) {
         let limit = self.options.answer_bytes;
         let Some(row) = self.running.get_mut(&runner) else {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Ends a run and tells those who listened.
+    /// Ends a run and notifies its listeners.
     pub(crate) fn end(
         &mut self,
         runner: Attempt,
@@ -90,7 +91,7 @@
             return;
         };
         for listener in row.end(state) {
-            if let Some(reply) = last(&row, listener.attempt) {
+            if let Some(reply) = final_reply(&row, listener.attempt) {
                 let link = listener.link;
                 commands.push(Command::Send { link, reply });
             }
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Forgets a run that the endpoint provably did not take, and refuses its
-    /// attempt for good.
+    /// Removes a run that the endpoint provably did not accept, and permanently
+    /// refuses its attempt.
     pub(crate) fn unstarted(&mut self, runner: Attempt, age: Age, commands: &mut Vec<Command>) {
         let Some(mut row) = self.running.remove(&runner) else {
             return;
@@ -128,8 +129,8 @@
         }
     }
 
-    /// Drops the answers of ended runs, the first ended first, until a part
-    /// of `limit` is free, and remembers that those requests ran.
+    /// Drops the answers of ended runs, earliest end first, until a part of
+    /// `limit` is free. The rows remain as a record that the requests ran.
     pub(crate) fn drop_answers(&mut self, limit: usize) {
         let goal = limit - limit / SLACK;
         let ended = self.repeatable.iter_mut().chain(self.once.iter_mut());
@@ -142,8 +143,8 @@
     }
 }
 
-/// Returns the last reply about a run that has ended.
-fn last(row: &Row, attempt: Attempt) -> Option<Reply> {
+/// Returns the final reply of a run that has ended.
+fn final_reply(row: &Row, attempt: Attempt) -> Option<Reply> {
     match row.state {
         State::Running { .. } => None,
         State::Finished => Some(Reply::End {
--- a/crates/ledger/src/event.rs
+++ b/crates/ledger/src/event.rs
@@ -1,38 +1,38 @@
-//! What a ledger is told.
+//! The events that drive a ledger.
 
 use bytes::Bytes;
 
 use crate::{Attempt, Link, Request};
 
-/// What a ledger is told.
+/// An event that drives a ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// An entry asks for something.
+    /// An entry sent a request.
     Request {
-        /// The connection that the request came by.
+        /// The connection on which the request arrived.
         link: Link,
         /// The request.
         request: Request,
     },
-    /// A connection is gone.
+    /// A connection was closed.
     LinkLost(Link),
-    /// The endpoint made a piece of an answer.
+    /// The endpoint produced a piece of an answer.
     Piece {
-        /// The attempt that was started.
+        /// The attempt that started the run.
         attempt: Attempt,
         /// The bytes of the piece.
         data: Bytes,
     },
     /// The endpoint finished an answer.
     Done(Attempt),
-    /// The endpoint failed after it may have begun to run.
+    /// The endpoint failed after the run may have begun.
     Failed(Attempt),
-    /// The endpoint provably did not take the request, for instance since it
-    /// could not be connected to.
+    /// The endpoint provably did not accept the request, for example because
+    /// the connection to it failed.
     Unstarted(Attempt),
-    /// The agent is to leave; there is no way back.
+    /// The agent is to leave. This can't be undone.
     Drain,
-    /// The endpoint takes no new runs for now, or takes them again.
+    /// The endpoint stops (`true`) or resumes (`false`) accepting new runs.
     Throttle(bool),
     /// Time has passed.
     Tick,
--- a/crates/ledger/src/generations.rs
+++ b/crates/ledger/src/generations.rs
@@ -1,4 +1,4 @@
-//! Tables that forget by age.
+//! Tables whose rows expire by age.
 
 use std::time::Duration;
 
@@ -6,18 +6,18 @@
 
 use crate::Age;
 
-/// Rows in one sorted table a period, so that an insertion moves the rows of
-/// one period only and old periods are dropped as a whole.
+/// A set of rows, divided into one sorted table for each period. An insertion
+/// moves only the rows of one period, and old periods are dropped as a whole.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Generations<K, V> {
     period: Duration,
-    /// The tables with the age at which each began, the oldest first.
+    /// The tables with the age at which each was created, oldest first.
     tables: Vec<(Age, Table<K, V>)>,
     rows: usize,
 }
 
 impl<K: Ord, V> Generations<K, V> {
-    /// Creates an empty set whose tables each cover `period`.
+    /// Creates an empty set, each of whose tables covers `period`.
     #[must_use]
     pub fn new(period: Duration) -> Self {
         Self {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Returns the value under `key`, from the youngest table that has one.
+    /// Returns the value under `key` from the newest table that contains it.
     pub fn get(&self, key: &K) -> Option<&V> {
         self.tables
             .iter()
@@ -35,7 +35,7 @@
             .find_map(|(_, table)| table.get(key))
     }
 
-    /// Returns the value under `key`, to be changed.
+    /// Returns a mutable reference to the value under `key`.
     pub fn get_mut(&mut self, key: &K) -> Option<&mut V> {
         self.tables
             .iter_mut()
@@ -43,13 +43,13 @@
             .find_map(|(_, table)| table.get_mut(key))
     }
 
-    /// Stores a row in the table of `now`; ages never go back.
+    /// Stores a row in the table for `now`. `now` must never decrease.
     pub fn insert(&mut self, key: K, value: V, now: Age) {
-        let fresh = match self.tables.last() {
+        let needs_table = match self.tables.last() {
             Some((began, _)) => now.since(*began) >= self.period,
             None => true,
         };
-        if fresh {
+        if needs_table {
             self.tables.push((now, Table::new()));
         }
         if let Some((_, table)) = self.tables.last_mut()
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes the value under `key` out.
+    /// Removes and returns the value under `key`.
     pub fn remove(&mut self, key: &K) -> Option<V> {
         let value = self
             .tables
@@ -70,7 +70,8 @@
         Some(value)
     }
 
-    /// Takes out the oldest table if all its rows are older than `lifetime`.
+    /// Removes and returns the oldest table if all its rows are older than
+    /// `lifetime`.
     pub fn expire(&mut self, now: Age, lifetime: Duration) -> Option<Table<K, V>> {
         let (began, _) = self.tables.first()?;
         if now <= began.after(self.period).after(lifetime) {
@@ -81,12 +82,12 @@
         Some(table)
     }
 
-    /// Returns the rows, the oldest table first.
+    /// Returns the rows, oldest table first.
     pub fn iter(&self) -> impl Iterator<Item = (&K, &V)> {
         self.tables.iter().flat_map(|(_, table)| table.iter())
     }
 
-    /// Returns the rows with values to be changed, the oldest table first.
+    /// Returns the rows with mutable values, oldest table first.
     pub fn iter_mut(&mut self) -> impl Iterator<Item = (&K, &mut V)> {
         self.tables
             .iter_mut()
@@ -99,7 +100,7 @@
         self.rows
     }
 
-    /// Tells whether there are no rows.
+    /// Returns whether there are no rows.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.rows == 0
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The ledger of an agent.
+//! The ledger of an agent, which decides on runs and records them.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::Instant;
@@ -10,10 +10,10 @@
 use crate::tombstones::Tombstones;
 use crate::{Age, Attempt, Command, Event, Generations, Identity, Link, Options, Reply, Request};
 
-/// How many tables the rows of one lifetime are spread over.
+/// The number of tables into which the rows of one lifetime are divided.
 const PERIODS: u32 = 32;
 
-/// The runs of an endpoint, as its agent decides and remembers them.
+/// The runs of an endpoint: the decisions of its agent and its record of them.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Ledger {
     pub(crate) options: Options,
@@ -21,25 +21,25 @@
     pub(crate) incarnation: Incarnation,
     pub(crate) started: Instant,
     pub(crate) draining: bool,
-    /// Whether the endpoint takes no new runs for now.
+    /// Whether the endpoint currently accepts no new runs.
     pub(crate) throttled: bool,
     pub(crate) running: Table<Attempt, Row>,
-    /// The non-idempotent runs that ended.
+    /// The non-idempotent runs that have ended.
     pub(crate) once: Generations<Attempt, Row>,
-    /// The idempotent runs that ended.
+    /// The idempotent runs that have ended.
     pub(crate) repeatable: Generations<Attempt, Row>,
-    /// The attempt that runs each non-idempotent request.
+    /// The running attempt of each non-idempotent request.
     pub(crate) running_keys: Table<u128, Attempt>,
-    /// The attempt that ran each request in `once`; forgotten together.
+    /// The attempt that ran each request in `once`; both expire together.
     pub(crate) ended_keys: Generations<u128, Attempt>,
     pub(crate) tombstones: Tombstones,
-    /// The bytes of answers and of identities.
+    /// The size of the stored answers and identities in bytes.
     pub(crate) bytes: usize,
 }
 
 impl Ledger {
-    /// Creates the ledger of an agent that started at `now` and has nothing
-    /// to remember. `incarnation` was never used for this endpoint before.
+    /// Creates an empty ledger for an agent that started at `now`.
+    /// `incarnation` must never have been used for this endpoint before.
     #[must_use]
     pub fn new(
         options: Options,
@@ -82,54 +82,54 @@
         self.incarnation
     }
 
-    /// Tells whether the agent refuses new work since it is leaving.
+    /// Returns whether the agent refuses new runs because it is leaving.
     #[must_use]
     pub const fn is_draining(&self) -> bool {
         self.draining
     }
 
-    /// Returns the number of runs that go on.
+    /// Returns the number of runs in progress.
     #[must_use]
     pub fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Returns the number of runs that are remembered.
+    /// Returns the number of recorded runs, in progress or ended.
     #[must_use]
     pub fn remembered(&self) -> usize {
         self.running.len() + self.once.len() + self.repeatable.len()
     }
 
-    /// Returns the number of given-up attempts that are remembered.
+    /// Returns the number of tombstones of given-up attempts.
     #[must_use]
     pub fn tombstones(&self) -> usize {
         self.tombstones.len()
     }
 
-    /// Returns the number of bytes kept of answers and of keys.
+    /// Returns the size of the stored answers and identities in bytes.
     #[must_use]
     pub const fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Takes one event at `now` and returns what is to be done, in order.
+    /// Handles an event at `now` and returns the commands to execute, in order.
     ///
-    /// On [`Command::Start`] the driver gives the payload of the frame that it
-    /// stepped through to the endpoint. Unless the endpoint provably did not
-    /// take it, it is never returned twice for an attempt, nor for a
-    /// non-idempotent key within its lifetime.
+    /// On [`Command::Start`] the driver sends the payload of the current frame
+    /// to the endpoint. The command is never returned twice for an attempt, nor
+    /// for a non-idempotent key within its lifetime, unless the endpoint
+    /// provably did not accept the payload.
     #[must_use]
     pub fn step(&mut self, event: Event, now: Instant) -> Vec<Command> {
         let age = self.age(now);
-        // Pieces are most of the events, and they change nothing that is due.
-        let looks_around = !matches!(event, Event::Piece { .. });
+        // Most events are pieces, and these make nothing expire.
+        let is_sweeping = !matches!(event, Event::Piece { .. });
         let mut commands = Vec::new();
-        if looks_around {
+        if is_sweeping {
             commands = self.sweep(age);
         }
         match event {
             Event::Request { link, request } => self.request(link, request, age, &mut commands),
-            Event::LinkLost(link) => self.unlisten(age, |_, listener| listener == link),
+            Event::LinkLost(link) => self.remove_listeners(age, |_, listener| listener == link),
             Event::Piece { attempt, data } => self.piece(attempt, &data, &mut commands),
             Event::Done(attempt) => self.end(attempt, State::Finished, age, &mut commands),
             Event::Failed(attempt) => {
@@ -140,8 +140,8 @@
             Event::Throttle(throttled) => self.throttled = throttled,
             Event::Tick => {}
         }
-        if looks_around {
-            commands.append(&mut self.stop_overdue(age));
+        if is_sweeping {
+            commands.append(&mut self.stop_expired(age));
         }
         if self.draining && self.running.is_empty() {
             commands.push(Command::Drained);
@@ -157,19 +157,19 @@
                 commands.push(Command::Send { link, reply });
             }
             Request::Attach { query, after } => self.attach(link, &query, after, age, commands),
-            Request::Cancel { attempt } => self.unlisten(age, |named, _| named == attempt),
+            Request::Cancel { attempt } => self.remove_listeners(age, |named, _| named == attempt),
         }
     }
 
-    fn unlisten(&mut self, age: Age, leaves: impl Fn(Attempt, Link) -> bool) {
+    fn remove_listeners(&mut self, age: Age, is_removed: impl Fn(Attempt, Link) -> bool) {
         for (_, row) in self.running.iter_mut() {
-            row.unlisten(age, |listener| leaves(listener.attempt, listener.link));
+            row.remove_listeners(age, |listener| is_removed(listener.attempt, listener.link));
         }
     }
 
-    /// Ends what is overdue and forgets what is older than its lifetime.
+    /// Ends expired runs and removes everything older than its lifetime.
     fn sweep(&mut self, age: Age) -> Vec<Command> {
-        let commands = self.stop_overdue(age);
+        let commands = self.stop_expired(age);
         self.tombstones.expire(age);
         while let Some(rows) = self.once.expire(age, self.options.lifetime) {
             self.release(&rows);
@@ -184,14 +184,14 @@
         commands
     }
 
-    fn stop_overdue(&mut self, age: Age) -> Vec<Command> {
-        let overdue: Vec<_> = self
+    fn stop_expired(&mut self, age: Age) -> Vec<Command> {
+        let expired: Vec<_> = self
             .running
             .iter()
-            .filter_map(|(attempt, row)| Some((*attempt, row.overdue(age)?)))
+            .filter_map(|(attempt, row)| Some((*attempt, row.expired(age)?)))
             .collect();
         let mut commands = Vec::new();
-        for (attempt, fault) in overdue {
+        for (attempt, fault) in expired {
             commands.push(Command::Stop(attempt));
             self.end(attempt, State::Broken(fault), age, &mut commands);
         }
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Returns the row of an attempt, running or ended.
+    /// Returns the row of an attempt, in progress or ended.
     pub(crate) fn row(&self, attempt: Attempt) -> Option<&Row> {
         self.running
             .get(&attempt)
@@ -212,7 +212,7 @@
             .or_else(|| self.repeatable.get(&attempt))
     }
 
-    /// Returns the attempt that runs or ran a non-idempotent request.
+    /// Returns the attempt that started a non-idempotent request.
     pub(crate) fn runner(&self, identity: &Identity) -> Option<Attempt> {
         let fingerprint = identity.fingerprint();
         self.running_keys
@@ -221,9 +221,9 @@
             .copied()
     }
 
-    /// Returns the attempt whose run `attempt` asks for: its own, or that of
-    /// the same key.
-    pub(crate) fn known(
+    /// Returns the attempt whose run answers `attempt`: `attempt` itself, or for
+    /// a non-idempotent request the attempt that started the same key.
+    pub(crate) fn find_run(
         &self,
         attempt: Attempt,
         identity: &Identity,
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,14 +1,14 @@
-//! Decisions of an agent over which requests run on its endpoint.
+//! Decisions of an agent on which requests run on its endpoint.
 //!
-//! An agent is the authority over one endpoint. Its [`Ledger`] remembers the
-//! attempts that were started, so that a key never starts twice, and those
-//! that were given up, so that a late frame never starts them. It does no I/O:
+//! Each endpoint has one agent. Its [`Ledger`] records the attempts that were
+//! started, to prevent a key from starting twice, and those that were given
+//! up, to prevent a delayed frame from starting them. It does no I/O:
 //! [`Ledger::step`] takes an event and the time and returns commands.
 //!
-//! The promises hold for as long as the process lives, which is why each
-//! request names the [`Incarnation`](cactusnotch_base::number::Incarnation) it
-//! is meant for, and why times are stated as the [`Age`] of that incarnation:
-//! no clock but the agent's own takes part.
+//! The guarantees hold for the lifetime of the process. Each request therefore
+//! names the [`Incarnation`](cactusnotch_base::number::Incarnation) to which it
+//! is addressed, and times are given as the [`Age`] of that incarnation: only
+//! the agent's own clock matters.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/ledger/src/link.rs
+++ b/crates/ledger/src/link.rs
@@ -1,10 +1,10 @@
-//! Connections from entries.
+//! Identifiers of connections from entries.
 
 use cactusnotch_derive::number;
 use derive_more::{Display, From, Into};
 
-/// One connection from an entry; the driver numbers them and never uses a
-/// number twice.
+/// The number of a connection from an entry. The driver assigns the numbers
+/// and never uses one twice.
 #[number]
 #[derive(Display, From, Into)]
 #[serde(transparent)]
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -1,4 +1,4 @@
-//! What an entry and an agent say to one another about a request.
+//! The messages between entries and agents about a request.
 
 use bytes::Bytes;
 use cactusnotch_base::Outcome;
@@ -13,44 +13,42 @@
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Repeat {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     #[display("idempotent")]
     Idempotent,
-    /// It runs at most once.
+    /// The request runs at most once.
     #[default]
     #[display("non-idempotent")]
     Once,
 }
 
-/// An order to run a request; its payload travels beside it.
+/// An instruction to run a request. The payload is sent along with it.
 #[message]
 #[derive(Eq, Hash)]
 pub struct Run {
-    /// The attempt, which was never sent to another agent.
+    /// The attempt, which was never sent to any other agent.
     pub attempt: Attempt,
     /// The request.
     pub identity: Identity,
-    /// A hash of the payload, so that a key is not used for two requests.
+    /// A hash of the payload, which detects a key reused for another request.
     pub digest: u64,
     /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// The agent that may start the attempt, and until when.
+    /// The agent that may start the attempt, and its latest start.
     pub window: Window,
     /// The age of the agent at which the run is cancelled.
     pub finish_by: Age,
-    /// How long the run goes on without anybody to send it to, in
-    /// milliseconds.
+    /// How long the run continues without a listener, in milliseconds.
     pub linger_ms: u64,
 }
 
-/// A question of an entry about a run that may have been started by another
-/// attempt.
+/// A query by an entry about a run that another attempt may have started.
 #[message]
 #[derive(Eq, Hash)]
 pub struct Query {
-    /// The name of the conversation, repeated in the replies.
+    /// The identifier of the conversation, repeated in the replies.
     pub attempt: Attempt,
-    /// The attempt that is asked about.
+    /// The attempt to which the query applies.
     pub target: Holder,
     /// The request.
     pub identity: Identity,
@@ -58,65 +56,66 @@
     pub digest: u64,
 }
 
-/// What an entry asks of an agent.
+/// A request of an entry to an agent.
 #[message]
 #[derive(Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum Request {
-    /// Runs a request, or attaches to the run of its key.
+    /// Runs a request, or attaches to the existing run of its key.
     Run(Run),
-    /// Refuses the target for good unless it has started.
+    /// Permanently refuses the target unless it has started.
     Tombstone(Query),
     /// Sends the pieces of the target's run that follow `after`.
     Attach {
-        /// The run that is asked for.
+        /// The requested run.
         query: Query,
-        /// The last piece that the entry has.
+        /// The last piece received by the entry.
         after: Sequence,
     },
-    /// Ends the conversation; a run without any goes on for its linger time.
+    /// Ends the conversation. A run without conversations continues for its
+    /// linger time.
     Cancel {
         /// The conversation.
         attempt: Attempt,
     },
 }
 
-/// Why an agent refuses.
+/// The reason for a refusal by an agent.
 #[message]
 #[derive(Eq, Hash, Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reason {
-    /// The frame was meant for another endpoint.
+    /// The frame is addressed to another endpoint.
     #[display("meant for another endpoint")]
     Elsewhere,
-    /// The frame was meant for another incarnation of the agent.
+    /// The frame is addressed to another incarnation of the agent.
     #[display("meant for another incarnation, this is {_0}")]
     Replaced(Incarnation),
-    /// The key was bound longer ago than keys are remembered.
+    /// The key was bound longer ago than the lifetime of keys.
     #[display("the key is older than keys are remembered")]
     Forgotten,
-    /// The attempt was given up before it came.
+    /// The attempt was given up before its frame arrived.
     #[display("the attempt had been given up")]
     Tombstoned,
-    /// The attempt came after the time at which it could start.
+    /// The attempt arrived after its latest start.
     #[display("the attempt came too late to start")]
     Late,
-    /// The agent takes no new work, since it is leaving.
+    /// The agent accepts no new runs because it is leaving.
     #[display("the endpoint is leaving")]
     Draining,
-    /// The endpoint takes no more requests for now, as it says itself.
+    /// The endpoint has reported that it currently accepts no more requests.
     #[display("the endpoint takes no more requests for now")]
     Throttled,
-    /// The agent can remember no more keys.
-    #[display("the agent remembers as many requests as it can")]
+    /// The ledger has no space for another run.
+    #[display("the agent check_retained as many requests as it can")]
     Full,
-    /// The key is longer than keys may be.
+    /// The key exceeds the maximum length.
     #[display("the key is too long")]
     Oversized,
-    /// The key names a request with another payload.
+    /// The key belongs to a request with a different payload.
     #[display("the key names another request")]
     Mismatch,
-    /// The run is known, but the pieces asked for are no longer kept.
+    /// The run is recorded, but the requested pieces were dropped.
     #[display("the pieces asked for are no longer kept")]
     Dropped,
     /// The endpoint refused the request before it ran.
@@ -124,7 +123,7 @@
     Unstarted,
 }
 
-/// Why a run ended without its end mark.
+/// The reason why a run ended without its end mark.
 #[number]
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
@@ -133,32 +132,33 @@
     #[default]
     #[display("the endpoint failed during the run")]
     Failed,
-    /// The run was cancelled since nobody waited for it.
+    /// The run was cancelled because it had no listeners.
     #[display("the run was cancelled")]
     Cancelled,
-    /// The run went on beyond its deadline.
+    /// The run exceeded its deadline.
     #[display("the deadline passed during the run")]
     Deadline,
 }
 
-/// What an agent replies; `attempt` is the conversation as the entry named it.
+/// A reply of an agent. `attempt` is the conversation identifier given by the
+/// entry.
 #[message]
 #[derive(Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    /// The run has started, and its pieces follow.
+    /// The run has started; its pieces follow.
     Accepted {
         /// The conversation.
         attempt: Attempt,
         /// The attempt that started the run.
         runner: Attempt,
     },
-    /// The agent does not run the attempt, and never will if `outcome` says
-    /// that it did not run.
+    /// The agent does not run the attempt. If `outcome` is [`Outcome::NotRun`],
+    /// it never will.
     Refused {
         /// The conversation.
         attempt: Attempt,
-        /// What is known of the attempt.
+        /// Whether the attempt may have run.
         outcome: Outcome,
         /// The reason.
         reason: Reason,
@@ -167,12 +167,12 @@
     Piece {
         /// The conversation.
         attempt: Attempt,
-        /// The number of the piece; the first one is 1.
+        /// The number of the piece, starting at 1.
         sequence: Sequence,
         /// The bytes of the piece.
         data: Bytes,
     },
-    /// The end mark: the answer is whole.
+    /// The end mark: the answer is complete.
     End {
         /// The conversation.
         attempt: Attempt,
@@ -190,21 +190,21 @@
     Tombstoned {
         /// The conversation.
         attempt: Attempt,
-        /// The attempt asked about.
+        /// The queried attempt.
         target: Attempt,
     },
-    /// The target cannot be given up: its key has started.
+    /// The target can't be given up because its key has started.
     Started {
         /// The conversation.
         attempt: Attempt,
-        /// The attempt asked about.
+        /// The queried attempt.
         target: Attempt,
     },
-    /// The target has not started, but may still do so.
+    /// The target has not started, but still may.
     Absent {
         /// The conversation.
         attempt: Attempt,
-        /// The attempt asked about.
+        /// The queried attempt.
         target: Attempt,
     },
 }
--- a/crates/ledger/src/options.rs
+++ b/crates/ledger/src/options.rs
@@ -1,23 +1,23 @@
-//! The bounds of a ledger.
+//! The limits of a ledger.
 
 use std::time::Duration;
 
-/// The bounds of a ledger.
+/// The limits of a ledger.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long the key of a non-idempotent run is remembered after its start.
+    /// How long the key of a non-idempotent run is retained after its start.
     pub lifetime: Duration,
-    /// How long an idempotent run is remembered after its start.
+    /// How long an idempotent run is retained after its start.
     pub repeatable_lifetime: Duration,
-    /// How many runs are remembered.
+    /// The maximum number of recorded runs.
     pub rows: usize,
-    /// How many given-up attempts are remembered one by one.
+    /// The maximum number of given-up attempts that are recorded individually.
     pub tombstones: usize,
-    /// How many bytes of answers and of keys are kept, over all runs.
+    /// The maximum size of answers and identities over all runs, in bytes.
     pub bytes: usize,
-    /// How many bytes of one answer are kept to be sent again.
+    /// The maximum size of one stored answer, in bytes.
     pub answer_bytes: usize,
-    /// How long a key, with the name of its organisation, may be, in bytes.
+    /// The maximum length of a key plus the name of its organisation, in bytes.
     pub key_bytes: usize,
 }
 
--- a/crates/ledger/src/row.rs
+++ b/crates/ledger/src/row.rs
@@ -1,4 +1,4 @@
-//! What is remembered of a run.
+//! The record of a run.
 
 use cactusnotch_base::number::Sequence;
 
@@ -11,18 +11,18 @@
 pub(crate) struct Listener {
     pub(crate) link: Link,
     pub(crate) attempt: Attempt,
-    /// The latest start of the listener's own attempt, if it asked for a run.
+    /// The latest start of the listener's own attempt, if it requested a run.
     pub(crate) start_by: Option<Age>,
 }
 
-/// How far a run has come.
+/// The state of a run.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) enum State {
     Running {
         listeners: Vec<Listener>,
         finish_by: Age,
-        /// The age since which nobody listens.
-        alone_since: Option<Age>,
+        /// The age since which the run has no listeners.
+        detached_since: Option<Age>,
     },
     Finished,
     Broken(Fault),
@@ -52,25 +52,25 @@
             state: State::Running {
                 listeners: Vec::new(),
                 finish_by,
-                alone_since: None,
+                detached_since: None,
             },
             answer: Answer::default(),
         }
     }
 
-    pub(crate) fn names(&self, identity: &Identity, digest: u64) -> bool {
+    pub(crate) fn matches(&self, identity: &Identity, digest: u64) -> bool {
         self.identity == *identity && self.digest == digest
     }
 
-    /// Adds or renews a conversation.
-    pub(crate) fn listen(&mut self, listener: Listener) {
+    /// Adds or replaces a listener.
+    pub(crate) fn add_listener(&mut self, listener: Listener) {
         if let State::Running {
             listeners,
-            alone_since,
+            detached_since,
             ..
         } = &mut self.state
         {
-            *alone_since = None;
+            *detached_since = None;
             match listeners
                 .iter_mut()
                 .find(|known| known.attempt == listener.attempt)
@@ -81,26 +81,26 @@
         }
     }
 
-    /// Ends the conversations that `leaves` names.
-    pub(crate) fn unlisten(&mut self, now: Age, leaves: impl Fn(&Listener) -> bool) {
+    /// Removes the listeners for which `is_removed` returns true.
+    pub(crate) fn remove_listeners(&mut self, now: Age, is_removed: impl Fn(&Listener) -> bool) {
         if let State::Running {
             listeners,
-            alone_since,
+            detached_since,
             ..
         } = &mut self.state
         {
-            listeners.retain(|listener| !leaves(listener));
-            if listeners.is_empty() && alone_since.is_none() {
-                *alone_since = Some(now);
+            listeners.retain(|listener| !is_removed(listener));
+            if listeners.is_empty() && detached_since.is_none() {
+                *detached_since = Some(now);
             }
         }
     }
 
-    /// Returns the fault that ends the run now, if its time is over.
-    pub(crate) fn overdue(&self, now: Age) -> Option<Fault> {
+    /// Returns the fault with which the run ends at `now`, if it has expired.
+    pub(crate) fn expired(&self, now: Age) -> Option<Fault> {
         let State::Running {
             finish_by,
-            alone_since,
+            detached_since,
             ..
         } = &self.state
         else {
@@ -109,11 +109,11 @@
         if now >= *finish_by {
             return Some(Fault::Deadline);
         }
-        let since = (*alone_since)?;
+        let since = (*detached_since)?;
         (now.0 >= since.0.saturating_add(self.linger_ms)).then_some(Fault::Cancelled)
     }
 
-    /// Ends the run and returns those who listened.
+    /// Ends the run and returns its listeners.
     pub(crate) fn end(&mut self, state: State) -> Vec<Listener> {
         match std::mem::replace(&mut self.state, state) {
             State::Running { listeners, .. } => listeners,
--- a/crates/ledger/src/tombstones.rs
+++ b/crates/ledger/src/tombstones.rs
@@ -1,14 +1,14 @@
-//! The attempts that were given up before they started.
+//! Tombstones of attempts that were given up before they started.
 
 use cactusnotch_base::Table;
 
 use crate::{Age, Attempt};
 
-/// The attempts that are refused for good.
+/// The attempts that are permanently refused.
 ///
-/// An attempt is remembered until the age after which it could not start
-/// anyway. When the table is full the floor rises instead: every attempt that
-/// had to start by then is refused, so nothing that was promised is forgotten.
+/// An attempt is recorded until the age after which it can't start anyway.
+/// When the table is full, the floor rises instead: every attempt whose latest
+/// start is at or below the floor is refused, so no given-up attempt can start.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Tombstones {
     limit: usize,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Tells whether `attempt` was given up, or is covered by the floor.
+    /// Returns whether `attempt` was given up, or is covered by the floor.
     pub(crate) fn covers(&self, attempt: Attempt, start_by: Age) -> bool {
         self.floor.is_some_and(|floor| start_by <= floor) || self.table.contains(&attempt)
     }
 
-    /// Gives `attempt` up.
+    /// Records that `attempt` was given up.
     pub(crate) fn add(&mut self, attempt: Attempt, start_by: Age, now: Age) {
         if start_by < now || self.covers(attempt, start_by) {
             return;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Forgets the attempts that could not start at `now` anyway.
+    /// Removes the attempts that can't start at `now` anyway.
     pub(crate) fn expire(&mut self, now: Age) {
         self.table.retain(|_, start_by| *start_by >= now);
     }
--- a/crates/ledger/src/window.rs
+++ b/crates/ledger/src/window.rs
@@ -1,4 +1,4 @@
-//! Where and until when an attempt may start.
+//! The agent on which an attempt may start, and its latest start.
 
 use cactusnotch_base::name::Endpoint;
 use cactusnotch_base::number::Incarnation;
@@ -6,18 +6,18 @@
 
 use crate::{Age, Attempt};
 
-/// The one agent that a key or an attempt is bound to.
+/// The agent to which a key or an attempt is bound.
 #[identifier]
 pub struct Terms {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// The incarnation of the endpoint's agent.
     pub incarnation: Incarnation,
-    /// An age that the agent had reported before it was named here.
+    /// An age that the agent reported before the key was bound to it.
     pub age: Age,
 }
 
-/// When an attempt may start.
+/// The period in which an attempt may start.
 #[identifier]
 pub struct Window {
     /// The agent, and its age when the key was bound to it.
@@ -31,6 +31,6 @@
 pub struct Holder {
     /// The attempt.
     pub attempt: Attempt,
-    /// The agent that may start it, and when.
+    /// The agent that may start the attempt, and its latest start.
     pub window: Window,
 }
--- a/crates/ledger/tests/ledger.rs
+++ b/crates/ledger/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What an agent remembers, and what it refuses.
+//! Which runs an agent records, and which requests it refuses.
 
 use std::time::Duration;
 
@@ -292,7 +292,7 @@
     assert_eq!(agent.step(Event::Throttle(true)), []);
     let refused = refusal(&agent.ask(Request::Run(agent.run(2, "other"))));
     assert_eq!(refused, Some((Outcome::NotRun, Reason::Throttled)));
-    // What runs has been let in before.
+    // The run was admitted before.
     assert_eq!(refusal(&agent.ask(Request::Run(agent.run(3, "key")))), None);
     assert_eq!(agent.step(Event::Throttle(false)), []);
     agent.start(4, "third");
