--- a/crates/attempt/examples/explore.rs
+++ b/crates/attempt/examples/explore.rs
@@ -1,9 +1,9 @@
-//! Searches the model of the tests under each pair of faults, and further
-//! than the tests do.
+//! Searches the model of the tests under each pair of faults, with more states
+//! than the tests visit.
 //!
 //! `cargo run --release -p cactusnotch-attempt --example explore -- 200000`
 //!
-//! The number bounds the visited states of one search.
+//! The number is the maximum of visited states per search.
 
 #[path = "../tests/explore/actions.rs"]
 mod actions;
@@ -23,7 +23,7 @@
 use setup::{Faults, KINDS, Setup};
 use world::World;
 
-/// How many states a search visits, if the caller names no number.
+/// The default maximum of visited states per search.
 const STATES: usize = 200_000;
 
 fn main() {
@@ -48,7 +48,7 @@
             }
         }
     }
-    println!("{total} states in all, no promise broken");
+    println!("{total} states in total, no guarantee violated");
 }
 
 fn search(ticket: bool, name: &str, faults: Faults, limit: usize) -> usize {
--- a/crates/attempt/src/answer.rs
+++ b/crates/attempt/src/answer.rs
@@ -1,4 +1,4 @@
-//! What the caller is told in the end.
+//! The final answer to a caller.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use cactusnotch_ledger::message;
 use derive_more::Display;
 
-/// Why a caller gets no whole answer.
+/// The reason why a caller gets no complete answer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Display)]
 pub enum Reason {
     /// The agent refused.
@@ -19,39 +19,39 @@
     /// The claim could not be recorded.
     #[display("the claim of the key could not be recorded")]
     Unavailable,
-    /// The key was claimed for a request with another payload.
+    /// The key is claimed for a request with a different payload.
     #[display("the key names another request")]
     Mismatch,
     /// The attempt was given up before it started.
     #[display("the attempt was given up before it started")]
     GivenUp,
-    /// No endpoint takes the request.
+    /// No endpoint accepts the request.
     #[display("no endpoint takes the request")]
     Unroutable,
-    /// There was no connection to send the request by.
+    /// There was no connection on which to send the request.
     #[display("there was no connection to the agent")]
     Unsent,
-    /// The agent that the key is bound to is gone.
+    /// The incarnation of the agent to which the key is bound has ended.
     #[display("the agent that the key is bound to is gone")]
     Replaced,
-    /// The agent does not answer.
+    /// The agent did not answer in time.
     #[display("the agent does not answer")]
     NoAnswer,
     /// The deadline of the request passed.
     #[display("the deadline passed")]
     Deadline,
-    /// The pieces of the answer did not fit together.
+    /// The pieces of the answer are inconsistent.
     #[display("the pieces of the answer do not fit together")]
     Garbled,
 }
 
 impl Reason {
-    /// Tells whether `not-run` for this reason also says that a non-idempotent
-    /// request had not run under its key when it was sent here.
+    /// Returns whether `not-run` for this reason implies that a non-idempotent
+    /// request had not run under its key when it arrived here.
     ///
-    /// Otherwise, and for idempotent requests, the key was not looked up, and `not-run` speaks of this
-    /// sending only: what became of an earlier one is to be learned by sending
-    /// the request again under the same key.
+    /// Otherwise, and for idempotent requests, the key was not looked up, and
+    /// `not-run` applies only to this transmission. To learn the result of an
+    /// earlier one, the caller sends the request again with the same key.
     #[must_use]
     pub const fn covers_key(&self) -> bool {
         match self {
@@ -68,21 +68,21 @@
     }
 }
 
-/// What the caller is told in the end.
+/// The final answer to a caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Answer {
-    /// All pieces up to this one were passed on, and the answer is whole.
+    /// The answer is complete, and all its pieces were passed on.
     Whole {
         /// The number of the last piece.
         total: Sequence,
     },
-    /// The answer is not whole, and the caller must be told so.
+    /// The answer is incomplete, which must be reported to the caller.
     Refused {
-        /// What is known of the request.
+        /// Whether the request may have run.
         outcome: Outcome,
         /// The reason.
         reason: Reason,
-        /// How long to wait before the request is sent again with its key.
+        /// The delay before the caller sends the request again with its key.
         retry_after: Duration,
     },
 }
--- a/crates/attempt/src/budget.rs
+++ b/crates/attempt/src/budget.rs
@@ -1,41 +1,41 @@
-//! The retries that an entry may spend.
+//! The retry budget of an entry.
 
-/// Retry tokens of an entry, earned by first attempts.
+/// The retry budget of an entry, to which each first attempt adds a part.
 ///
-/// Retries are thereby at most a fraction of first attempts, beyond a small
-/// store, however many requests fail at once.
+/// Beyond a small reserve, retries are at most a fraction of first attempts,
+/// however many requests fail at the same time.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Budget {
-    /// What a first attempt earns, in thousandths of a retry.
-    earned: u32,
-    /// The most that is stored, in thousandths of a retry.
+    /// The amount added by a first attempt, in thousandths of a retry.
+    deposit: u32,
+    /// The maximum balance, in thousandths of a retry.
     limit: u32,
     stored: u32,
 }
 
-/// The thousandths of a retry that one retry costs.
+/// The cost of a retry, in thousandths of a retry.
 const RETRY: u32 = 1000;
 
 impl Budget {
-    /// Creates a full budget of `limit` retries to which each first attempt
-    /// adds `earned` thousandths of one.
+    /// Creates a full budget of `limit` retries, to which each first attempt
+    /// adds `deposit` thousandths of a retry.
     #[must_use]
-    pub const fn new(earned: u32, limit: u32) -> Self {
+    pub const fn new(deposit: u32, limit: u32) -> Self {
         let limit = limit.saturating_mul(RETRY);
         Self {
-            earned,
+            deposit,
             limit,
             stored: limit,
         }
     }
 
-    /// Adds what a first attempt earns.
-    pub fn earn(&mut self) {
-        self.stored = self.stored.saturating_add(self.earned).min(self.limit);
+    /// Adds the amount for a first attempt.
+    pub fn deposit(&mut self) {
+        self.stored = self.stored.saturating_add(self.deposit).min(self.limit);
     }
 
-    /// Takes one retry out, if there is one.
-    pub fn spend(&mut self) -> bool {
+    /// Withdraws one retry and returns true, or returns false if less is left.
+    pub fn withdraw(&mut self) -> bool {
         match self.stored.checked_sub(RETRY) {
             Some(left) => {
                 self.stored = left;
--- a/crates/attempt/src/exchange.rs
+++ b/crates/attempt/src/exchange.rs
@@ -1,4 +1,4 @@
-//! The course of one request.
+//! The state machine of one request.
 
 use cactusnotch_base::Outcome;
 use cactusnotch_base::clock::Instant;
@@ -10,16 +10,16 @@
 use crate::intake::Intake;
 use crate::{Answer, Budget, Command, Event, Mode, Options, Order, Reason};
 
-/// When a question to an agent is sent again, and when it is given up.
+/// When a query to an agent is sent again, and when it is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) struct Patience {
+pub(crate) struct Timers {
     pub(crate) resend: Instant,
     pub(crate) until: Instant,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) enum State {
-    /// An endpoint is to be chosen.
+    /// An endpoint is being chosen.
     Routing,
     /// The key is being claimed.
     Claiming {
@@ -29,12 +29,12 @@
     Dispatched {
         until: Instant,
     },
-    /// The pieces come.
+    /// The pieces of the answer are arriving.
     Streaming,
-    /// The agent was asked to give the holder up.
-    Tombstoning(Patience),
+    /// The agent was asked to give up the holder.
+    Tombstoning(Timers),
     /// The agent was asked for the pieces of the holder's run.
-    Attached(Patience),
+    Attached(Timers),
     Ended,
 }
 
@@ -45,26 +45,26 @@
     pub(crate) options: Options,
     pub(crate) state: State,
     pub(crate) intake: Intake,
-    /// The name by which agents reply to us.
+    /// The conversation identifier in the replies of agents.
     pub(crate) conversation: Attempt,
-    /// The attempt whose run we wait for, ours or another entry's.
+    /// The attempt whose run is awaited, of this or another entry.
     pub(crate) holder: Option<Holder>,
-    /// The agent of the latest route, at its latest known age.
+    /// The agent of the latest route, with its last reported age.
     pub(crate) route: Option<Terms>,
-    /// The age of that agent at the deadline.
+    /// The age of that agent at the deadline of the request.
     pub(crate) finish_by: Age,
-    /// The attempt that held the key and provably never starts.
+    /// The previous holder of the key, which provably never starts.
     pub(crate) from: Option<Attempt>,
-    /// The attempt that started the run whose pieces we get.
+    /// The attempt that started the run whose pieces arrive here.
     pub(crate) runner: Option<Attempt>,
     pub(crate) avoid: Vec<Endpoint>,
     pub(crate) retries: u32,
-    /// Whether an attempt of ours was given up that may have run.
-    pub(crate) doubt: bool,
+    /// Whether an earlier attempt was given up although it may have run.
+    pub(crate) may_have_run: bool,
 }
 
 impl Exchange {
-    /// Takes a request on and returns what is to be done first.
+    /// Accepts a request and returns the first commands.
     #[must_use]
     pub fn new(
         order: Order,
@@ -72,7 +72,7 @@
         now: Instant,
         budget: &mut Budget,
     ) -> (Self, Vec<Command>) {
-        budget.earn();
+        budget.deposit();
         let mut exchange = Self {
             intake: Intake::new(order.after),
             conversation: order.conversation,
@@ -83,7 +83,7 @@
             runner: None,
             avoid: Vec::new(),
             retries: 0,
-            doubt: false,
+            may_have_run: false,
             state: State::Routing,
             order,
             options,
@@ -99,7 +99,7 @@
         (exchange, commands)
     }
 
-    /// Returns when [`Event::Timer`] is due, or nothing after the end.
+    /// Returns when [`Event::Timer`] is due, or `None` after the end.
     #[must_use]
     pub fn wake(&self) -> Option<Instant> {
         let next = match self.state {
@@ -107,34 +107,32 @@
             State::Routing | State::Streaming => self.order.deadline,
             State::Claiming { resend } => resend,
             State::Dispatched { until } => until,
-            State::Tombstoning(patience) | State::Attached(patience) => {
-                patience.resend.min(patience.until)
-            }
+            State::Tombstoning(timers) | State::Attached(timers) => timers.resend.min(timers.until),
         };
         Some(next.min(self.order.deadline))
     }
 
-    /// Returns the name by which agents reply to this exchange; it changes
+    /// Returns the conversation identifier in the replies of agents. It changes
     /// with each [`Event::Routed`].
     #[must_use]
     pub const fn conversation(&self) -> Attempt {
         self.conversation
     }
 
-    /// Returns the attempt whose run is waited for, which a caller may name
-    /// to resume at another entry.
+    /// Returns the attempt whose run is awaited. A caller can use it to resume
+    /// at another entry.
     #[must_use]
     pub const fn holder(&self) -> Option<&Holder> {
         self.holder.as_ref()
     }
 
-    /// Tells whether the final answer was given, or nobody waits for it.
+    /// Returns whether the final answer was given, or the caller is gone.
     #[must_use]
     pub fn is_ended(&self) -> bool {
         self.state == State::Ended
     }
 
-    /// Takes one event at `now` and returns what is to be done, in order.
+    /// Handles an event at `now` and returns the commands to execute, in order.
     #[must_use]
     pub fn step(&mut self, event: Event, now: Instant, budget: &mut Budget) -> Vec<Command> {
         let mut commands = Vec::new();
@@ -142,7 +140,7 @@
             return commands;
         }
         if event == Event::CallerGone {
-            self.withdraw(&mut commands);
+            self.release(&mut commands);
             self.state = State::Ended;
             return commands;
         }
@@ -157,7 +155,7 @@
                 attempt,
             } => self.routed(terms, reported_at, attempt, now, &mut commands),
             Event::Unroutable if self.state == State::Routing => {
-                self.unreached(Reason::Unroutable, &mut commands);
+                self.refuse_unreachable(Reason::Unroutable, &mut commands);
             }
             Event::Claimed { attempt, answer } => {
                 self.claimed(attempt, answer, now, &mut commands);
@@ -196,18 +194,18 @@
         }
         let left = self.order.deadline.saturating_duration_since(reported_at);
         self.finish_by = terms.age.after(left);
-        let grant = match &self.order.mode {
-            Mode::Ticket(grant) => grant.clone(),
+        let bound = match &self.order.mode {
+            Mode::Ticket(bound) => bound.clone(),
             Mode::Private | Mode::Claim | Mode::Resume(_) => terms.clone(),
         };
-        if (&grant.endpoint, grant.incarnation) != (&terms.endpoint, terms.incarnation) {
+        if (&bound.endpoint, bound.incarnation) != (&terms.endpoint, terms.incarnation) {
             return self.refuse(Outcome::Unknown, Reason::Replaced, commands);
         }
         let holder = Holder {
             attempt,
             window: Window {
                 start_by: terms.age.after(self.options.start),
-                terms: grant,
+                terms: bound,
             },
         };
         self.conversation = attempt;
@@ -219,7 +217,7 @@
         self.claim(&holder, now, commands);
     }
 
-    /// Claims the key; doing it again for the same holder does no harm.
+    /// Claims the key. Repeating the claim for the same holder is harmless.
     pub(crate) fn claim(&mut self, holder: &Holder, now: Instant, commands: &mut Vec<Command>) {
         self.state = State::Claiming {
             resend: now + self.options.claim,
@@ -232,9 +230,9 @@
         }));
     }
 
-    /// The agent of a ticket that cannot be reached may have run the request
-    /// when it was sent before.
-    fn unreached(&mut self, reason: Reason, commands: &mut Vec<Command>) {
+    /// Refuses a request whose agent can't be reached. The agent of a ticket may
+    /// have run the request when it was sent earlier.
+    fn refuse_unreachable(&mut self, reason: Reason, commands: &mut Vec<Command>) {
         let outcome = match self.order.mode {
             Mode::Ticket(_) => Outcome::Unknown,
             Mode::Private | Mode::Claim | Mode::Resume(_) => Outcome::NotRun,
@@ -248,9 +246,9 @@
             return;
         }
         match self.order.mode {
-            Mode::Ticket(_) => self.unreached(Reason::Unsent, commands),
+            Mode::Ticket(_) => self.refuse_unreachable(Reason::Unsent, commands),
             Mode::Private | Mode::Claim | Mode::Resume(_) => {
-                self.dead(Reason::Unsent, budget, commands);
+                self.after_not_run(Reason::Unsent, budget, commands);
             }
         }
     }
@@ -301,9 +299,9 @@
         };
     }
 
-    /// Tells the caller that it gets no whole answer.
+    /// Ends the exchange without a complete answer.
     pub(crate) fn refuse(&mut self, outcome: Outcome, reason: Reason, commands: &mut Vec<Command>) {
-        let outcome = if self.doubt {
+        let outcome = if self.may_have_run {
             Outcome::Unknown
         } else {
             outcome
--- a/crates/attempt/src/intake.rs
+++ b/crates/attempt/src/intake.rs
@@ -1,19 +1,19 @@
-//! The order of the pieces of an answer.
+//! The sequence check for the pieces of an answer.
 
 use cactusnotch_base::number::Sequence;
 
-/// How a piece fits to those before it.
+/// How a piece relates to the pieces before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Fit {
-    /// It is the next one.
+    /// The piece is the next one.
     Next,
-    /// It was passed on before.
-    Seen,
-    /// Some pieces before it are missing.
+    /// The piece was already passed on.
+    Duplicate,
+    /// Earlier pieces are missing.
     Gap,
 }
 
-/// The pieces that were passed on.
+/// The pieces that were passed on to the caller.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Intake {
     last: Sequence,
@@ -29,10 +29,10 @@
         self.last
     }
 
-    /// Tells how a piece fits, and counts it if it is the next.
-    pub(crate) fn take(&mut self, sequence: Sequence) -> Fit {
+    /// Classifies a piece, and records it if it is the next one.
+    pub(crate) fn record(&mut self, sequence: Sequence) -> Fit {
         if sequence <= self.last {
-            return Fit::Seen;
+            return Fit::Duplicate;
         }
         if sequence > self.last.next() {
             return Fit::Gap;
--- a/crates/attempt/src/lib.rs
+++ b/crates/attempt/src/lib.rs
@@ -1,10 +1,10 @@
-//! The course of one request at an entry, from its claim to its final answer.
+//! The handling of one request at an entry, from its claim to its final answer.
 //!
 //! An [`Exchange`] does no I/O: [`Exchange::step`] takes an event and the time
-//! and returns commands. It tells its caller `not-run` only if the request was
-//! never dispatched or if the agent refused it for good, and otherwise
-//! `unknown`; it passes on each piece of an answer once and in order, and an
-//! answer is whole only with its end mark.
+//! and returns commands. It reports `not-run` only if the request was never
+//! dispatched or if the agent refused it permanently, and otherwise `unknown`.
+//! It passes on each piece of an answer once and in order, and an answer is
+//! complete only with its end mark.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/attempt/src/options.rs
+++ b/crates/attempt/src/options.rs
@@ -1,24 +1,24 @@
-//! The times and counts that bound a request.
+//! The limits for a request.
 
 use std::time::Duration;
 
-/// The times and counts that bound a request.
+/// The limits for a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Options {
-    /// How long after the agent's last reported age an attempt may start.
+    /// The maximum time from the agent's last reported age to the start of an
+    /// attempt.
     pub start: Duration,
-    /// How long to wait before a claim is sent again, perhaps to another
-    /// writer.
+    /// The delay before a claim is sent again, possibly to another writer.
     pub claim: Duration,
-    /// How long an agent may take to accept a dispatched attempt.
+    /// The time within which an agent must accept a dispatched attempt.
     pub accept: Duration,
-    /// How long an agent may take to say what became of an attempt.
+    /// The time within which an agent must report the state of an attempt.
     pub settle: Duration,
-    /// How long to wait before a question to an agent is sent again.
+    /// The delay before a query to an agent is sent again.
     pub resend: Duration,
-    /// How many attempts may be dispatched or moved, beyond the first.
+    /// The maximum number of attempts after the first.
     pub retries: u32,
-    /// The hint for a caller that is to try again.
+    /// The delay that is suggested to a caller before it tries again.
     pub retry_after: Duration,
 }
 
--- a/crates/attempt/src/order.rs
+++ b/crates/attempt/src/order.rs
@@ -1,24 +1,24 @@
-//! A request as the entry takes it on.
+//! A request as accepted by an entry.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::number::Sequence;
 use cactusnotch_ledger::message::Repeat;
 use cactusnotch_ledger::{Attempt, Holder, Identity, Terms};
 
-/// How it is known which agent may run a request.
+/// How the agent that may run a request is determined.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Mode {
-    /// The entry made the key up, so that no other entry can know it.
+    /// The entry generated the key, so no other entry can use it.
     Private,
-    /// The caller chose the key, and it is claimed before dispatch.
+    /// The caller chose the key, which is claimed before dispatch.
     Claim,
     /// The key is a ticket, which names the agent.
     Ticket(Terms),
-    /// The caller asks for the rest of an answer that this attempt runs.
+    /// The caller requests the rest of the answer to this attempt.
     Resume(Holder),
 }
 
-/// A request as the entry takes it on.
+/// A request as accepted by an entry.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Order {
     /// The request.
@@ -27,14 +27,14 @@
     pub digest: u64,
     /// Whether the request may run more than once.
     pub repeat: Repeat,
-    /// How it is known which agent may run the request.
+    /// How the agent that may run the request is determined.
     pub mode: Mode,
-    /// A fresh name for the first conversation with an agent.
+    /// A new identifier for the first conversation with an agent.
     pub conversation: Attempt,
-    /// The last piece that the caller has; zero for none.
+    /// The last piece received by the caller, or zero.
     pub after: Sequence,
-    /// When the caller no longer waits.
+    /// When the caller stops waiting.
     pub deadline: Instant,
-    /// How long a run goes on without its caller, in milliseconds.
+    /// How long a run continues without its caller, in milliseconds.
     pub linger_ms: u64,
 }
--- a/crates/attempt/src/recovery.rs
+++ b/crates/attempt/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What an exchange does when an agent is silent, refuses or is gone.
+//! Recovery when an agent does not answer, refuses or is gone.
 
 use cactusnotch_base::Outcome;
 use cactusnotch_base::clock::Instant;
@@ -7,30 +7,30 @@
 use cactusnotch_ledger::Request;
 use cactusnotch_ledger::message::{Query, Repeat};
 
-use crate::exchange::{Exchange, Patience, State};
+use crate::exchange::{Exchange, State, Timers};
 use crate::{Budget, Command, Mode, Reason};
 
 impl Exchange {
-    /// Asks the holder's agent for the pieces that follow the last one.
+    /// Requests the pieces that follow the last one from the holder's agent.
     pub(crate) fn attach(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        self.state = State::Attached(self.patience(now));
+        self.state = State::Attached(self.timers(now));
         self.ask(commands);
     }
 
-    /// Asks the holder's agent to give the holder up.
+    /// Requests a tombstone for the holder from its agent.
     pub(crate) fn tombstone(&mut self, now: Instant, commands: &mut Vec<Command>) {
-        self.state = State::Tombstoning(self.patience(now));
+        self.state = State::Tombstoning(self.timers(now));
         self.ask(commands);
     }
 
-    fn patience(&self, now: Instant) -> Patience {
-        Patience {
+    fn timers(&self, now: Instant) -> Timers {
+        Timers {
             resend: now + self.options.resend,
             until: now + self.options.settle,
         }
     }
 
-    /// Sends the question of the state.
+    /// Sends the query that belongs to the current state.
     fn ask(&self, commands: &mut Vec<Command>) {
         let Some(query) = self.query() else { return };
         let endpoint = query.target.window.terms.endpoint.clone();
@@ -53,25 +53,30 @@
         })
     }
 
-    /// Tells whether the holder is an attempt of this exchange.
-    pub(crate) fn holds_itself(&self) -> bool {
+    /// Returns whether the holder is an attempt of this exchange.
+    pub(crate) fn is_holder(&self) -> bool {
         self.holder
             .as_ref()
             .is_some_and(|holder| holder.attempt == self.conversation)
     }
 
-    /// Tells whether the work may be repeated elsewhere without the caller
-    /// getting pieces of two answers.
+    /// Returns whether the request may be repeated on another endpoint without
+    /// mixing pieces of two answers.
     fn is_repeatable(&self) -> bool {
         self.order.repeat == Repeat::Idempotent
             && self.intake.last() == self.order.after
             && !matches!(self.order.mode, Mode::Resume(_))
     }
 
-    /// The agent does not say what became of the holder.
-    pub(crate) fn lost(&mut self, now: Instant, budget: &mut Budget, commands: &mut Vec<Command>) {
+    /// Handles an agent that does not report the state of the holder.
+    pub(crate) fn after_no_answer(
+        &mut self,
+        now: Instant,
+        budget: &mut Budget,
+        commands: &mut Vec<Command>,
+    ) {
         if self.is_repeatable() {
-            return self.uncertain(Reason::NoAnswer, budget, commands);
+            return self.after_uncertain(Reason::NoAnswer, budget, commands);
         }
         match self.state {
             State::Dispatched { .. } => self.tombstone(now, commands),
@@ -80,50 +85,50 @@
         }
     }
 
-    /// The holder may have run, and its answer is not to be had.
-    pub(crate) fn uncertain(
+    /// Handles a holder that may have run but whose answer is unavailable.
+    pub(crate) fn after_uncertain(
         &mut self,
         reason: Reason,
         budget: &mut Budget,
         commands: &mut Vec<Command>,
     ) {
-        self.withdraw(commands);
-        self.doubt = true;
+        self.release(commands);
+        self.may_have_run = true;
         if self.is_repeatable() && self.may_retry(budget) {
-            return self.elsewhere(commands);
+            return self.retry_elsewhere(commands);
         }
         self.refuse(Outcome::Unknown, reason, commands);
     }
 
-    /// The holder provably never starts.
-    pub(crate) fn dead(
+    /// Handles a holder that provably never starts.
+    pub(crate) fn after_not_run(
         &mut self,
         reason: Reason,
         budget: &mut Budget,
         commands: &mut Vec<Command>,
     ) {
-        let ours = self.holds_itself();
+        let is_own = self.is_holder();
         let may_move = match self.order.mode {
             Mode::Ticket(_) | Mode::Resume(_) => false,
-            Mode::Private | Mode::Claim if ours => self.may_retry(budget),
+            Mode::Private | Mode::Claim if is_own => self.may_retry(budget),
             Mode::Private | Mode::Claim => self.retries < self.options.retries,
         };
         if !may_move {
             return self.refuse(Outcome::NotRun, reason, commands);
         }
         self.from = self.holder.as_ref().map(|holder| holder.attempt);
-        self.elsewhere(commands);
+        self.retry_elsewhere(commands);
     }
 
     fn may_retry(&self, budget: &mut Budget) -> bool {
-        self.retries < self.options.retries && budget.spend()
+        self.retries < self.options.retries && budget.withdraw()
     }
 
-    fn elsewhere(&mut self, commands: &mut Vec<Command>) {
+    fn retry_elsewhere(&mut self, commands: &mut Vec<Command>) {
         self.retries += 1;
-        let ours = self.holds_itself();
+        let is_own = self.is_holder();
         if let Some(holder) = self.holder.take()
-            && ours
+            && is_own
         {
             self.avoid.push(holder.window.terms.endpoint);
         }
@@ -137,12 +142,12 @@
         budget: &mut Budget,
         commands: &mut Vec<Command>,
     ) {
-        let concerned = self
+        let is_affected = self
             .holder
             .as_ref()
             .is_some_and(|holder| holder.window.terms.endpoint == *endpoint);
-        if concerned && matches!(self.state, State::Dispatched { .. } | State::Streaming) {
-            self.lost(now, budget, commands);
+        if is_affected && matches!(self.state, State::Dispatched { .. } | State::Streaming) {
+            self.after_no_answer(now, budget, commands);
         }
     }
 
@@ -153,36 +158,39 @@
                     self.claim(&holder, now, commands);
                 }
             }
-            State::Dispatched { until } if now >= until => self.lost(now, budget, commands),
-            State::Tombstoning(patience) | State::Attached(patience) if now >= patience.until => {
-                self.uncertain(Reason::NoAnswer, budget, commands);
+            State::Dispatched { until } if now >= until => {
+                self.after_no_answer(now, budget, commands)
+            }
+            State::Tombstoning(timers) | State::Attached(timers) if now >= timers.until => {
+                self.after_uncertain(Reason::NoAnswer, budget, commands);
             }
-            State::Tombstoning(mut patience) if now >= patience.resend => {
-                patience.resend = now + self.options.resend;
-                self.state = State::Tombstoning(patience);
+            State::Tombstoning(mut timers) if now >= timers.resend => {
+                timers.resend = now + self.options.resend;
+                self.state = State::Tombstoning(timers);
                 self.ask(commands);
             }
-            State::Attached(mut patience) if now >= patience.resend => {
-                patience.resend = now + self.options.resend;
-                self.state = State::Attached(patience);
+            State::Attached(mut timers) if now >= timers.resend => {
+                timers.resend = now + self.options.resend;
+                self.state = State::Attached(timers);
                 self.ask(commands);
             }
             _ => {}
         }
     }
 
-    /// The deadline has passed.
+    /// Ends the exchange because its deadline has passed.
     pub(crate) fn expire(&mut self, commands: &mut Vec<Command>) {
         let outcome = match self.state {
             State::Routing | State::Claiming { .. } => Outcome::NotRun,
             _ => Outcome::Unknown,
         };
-        self.withdraw(commands);
+        self.release(commands);
         self.refuse(outcome, Reason::Deadline, commands);
     }
 
-    /// Frees what the exchange may hold at an agent.
-    pub(crate) fn withdraw(&self, commands: &mut Vec<Command>) {
+    /// Releases the run and the conversation that the exchange may have at an
+    /// agent.
+    pub(crate) fn release(&self, commands: &mut Vec<Command>) {
         if matches!(
             self.state,
             State::Routing | State::Claiming { .. } | State::Ended
@@ -192,7 +200,7 @@
         let Some(query) = self.query() else { return };
         let attempt = self.conversation;
         let endpoint = query.target.window.terms.endpoint.clone();
-        if self.holds_itself() && self.intake.last() == Sequence(0) {
+        if self.is_holder() && self.intake.last() == Sequence(0) {
             commands.push(Command::Send {
                 endpoint: endpoint.clone(),
                 request: Request::Tombstone(query),
--- a/crates/attempt/src/replies.rs
+++ b/crates/attempt/src/replies.rs
@@ -1,4 +1,4 @@
-//! What an exchange makes of an agent's replies.
+//! Handles the replies of agents.
 
 use bytes::Bytes;
 use cactusnotch_base::Outcome;
@@ -11,7 +11,7 @@
 use crate::{Answer, Budget, Command, Reason};
 
 impl Exchange {
-    /// Takes a reply, unless it belongs to another conversation.
+    /// Handles a reply, unless it belongs to another conversation.
     pub(crate) fn reply(
         &mut self,
         reply: Reply,
@@ -28,22 +28,26 @@
             Reply::Piece { sequence, data, .. } => self.piece(sequence, data, now, commands),
             Reply::End { total, .. } => self.end(total, now, commands),
             Reply::Broken { fault, .. } => {
-                self.uncertain(Reason::Broken(fault), budget, commands);
+                self.after_uncertain(Reason::Broken(fault), budget, commands);
             }
             Reply::Refused {
                 outcome, reason, ..
             } => self.refused(outcome, reason, budget, commands),
-            Reply::Tombstoned { target, .. } if self.awaits(target) => {
-                self.dead(Reason::GivenUp, budget, commands);
+            Reply::Tombstoned { target, .. } if self.is_queried(target) => {
+                self.after_not_run(Reason::GivenUp, budget, commands);
+            }
+            Reply::Started { target, .. } if self.is_tombstoning(target) => {
+                self.attach(now, commands)
+            }
+            Reply::Absent { target, .. } if self.is_queried(target) => {
+                self.tombstone(now, commands)
             }
-            Reply::Started { target, .. } if self.asked(target) => self.attach(now, commands),
-            Reply::Absent { target, .. } if self.awaits(target) => self.tombstone(now, commands),
             Reply::Tombstoned { .. } | Reply::Started { .. } | Reply::Absent { .. } => {}
         }
     }
 
-    /// Tells whether the agent was asked about `target`.
-    fn awaits(&self, target: Attempt) -> bool {
+    /// Returns whether a query about `target` is pending.
+    fn is_queried(&self, target: Attempt) -> bool {
         let open = matches!(self.state, State::Tombstoning(_) | State::Attached(_));
         open && self
             .holder
@@ -51,9 +55,9 @@
             .is_some_and(|holder| holder.attempt == target)
     }
 
-    /// Tells whether the agent was asked to give `target` up.
-    fn asked(&self, target: Attempt) -> bool {
-        matches!(self.state, State::Tombstoning(_)) && self.awaits(target)
+    /// Returns whether the agent was asked to give up `target`.
+    fn is_tombstoning(&self, target: Attempt) -> bool {
+        matches!(self.state, State::Tombstoning(_)) && self.is_queried(target)
     }
 
     fn accepted(&mut self, runner: Attempt, commands: &mut Vec<Command>) {
@@ -71,19 +75,19 @@
         now: Instant,
         commands: &mut Vec<Command>,
     ) {
-        match self.intake.take(sequence) {
+        match self.intake.record(sequence) {
             Fit::Next => {
                 if matches!(self.state, State::Dispatched { .. }) {
                     self.state = State::Streaming;
                 }
                 commands.push(Command::Piece { sequence, data });
             }
-            Fit::Seen => {}
+            Fit::Duplicate => {}
             Fit::Gap => self.fetch(now, commands),
         }
     }
 
-    /// Asks again for pieces that are missing, unless that was done.
+    /// Requests missing pieces, unless such a request is pending.
     fn fetch(&mut self, now: Instant, commands: &mut Vec<Command>) {
         if !matches!(self.state, State::Attached(_)) {
             self.attach(now, commands);
@@ -110,8 +114,8 @@
     ) {
         let reason = Reason::Refused(reason);
         match outcome {
-            Outcome::Unknown => self.uncertain(reason, budget, commands),
-            Outcome::NotRun if self.holds_itself() => self.dead(reason, budget, commands),
+            Outcome::Unknown => self.after_uncertain(reason, budget, commands),
+            Outcome::NotRun if self.is_holder() => self.after_not_run(reason, budget, commands),
             Outcome::NotRun => self.refuse(Outcome::NotRun, reason, commands),
         }
     }
--- a/crates/attempt/tests/exchange.rs
+++ b/crates/attempt/tests/exchange.rs
@@ -1,4 +1,4 @@
-//! The course of single requests, and what their callers are told.
+//! The handling of single requests and their final answers.
 
 use std::time::Duration;
 
@@ -80,7 +80,7 @@
     }
 
     fn timer(&mut self) -> Vec<Command> {
-        self.now = self.exchange.wake().expect("the exchange goes on");
+        self.now = self.exchange.wake().expect("the exchange has not ended");
         self.step(Event::Timer)
     }
 
@@ -93,7 +93,7 @@
     }
 }
 
-fn told(commands: &[Command]) -> Option<(Outcome, Reason)> {
+fn refusal(commands: &[Command]) -> Option<(Outcome, Reason)> {
     match commands.last() {
         Some(Command::Finish(Answer::Refused {
             outcome, reason, ..
@@ -110,10 +110,13 @@
 fn idempotent_work_is_repeated_within_the_budget() {
     let mut entry = Entry::new(Repeat::Idempotent, Mode::Private, 1);
     entry.routed(1, "one");
-    assert!(routes(&entry.timer()), "a silent agent costs one retry");
+    assert!(
+        routes(&entry.timer()),
+        "an agent that does not answer costs one retry"
+    );
     entry.routed(2, "two");
     let lost = entry.step(Event::LinkLost("two".into()));
-    assert_eq!(told(&lost), Some((Outcome::Unknown, Reason::NoAnswer)));
+    assert_eq!(refusal(&lost), Some((Outcome::Unknown, Reason::NoAnswer)));
 }
 
 #[test]
@@ -183,7 +186,7 @@
     assert!(matches!(&again[..], [Command::Claim(_)]), "{again:?}");
     entry.now += Duration::from_mins(1);
     let late = entry.step(granted.clone());
-    assert_eq!(told(&late), Some((Outcome::NotRun, Reason::Deadline)));
+    assert_eq!(refusal(&late), Some((Outcome::NotRun, Reason::Deadline)));
     assert_eq!(entry.step(granted), []);
 }
 
@@ -222,10 +225,10 @@
         reported_at: replaced.now,
         attempt: attempt(1),
     };
-    let answer = told(&replaced.step(event));
+    let answer = refusal(&replaced.step(event));
     assert_eq!(answer, Some((Outcome::Unknown, Reason::Replaced)));
     let mut gone = Entry::new(Repeat::Once, Mode::Ticket(terms("one")), 0);
-    let answer = told(&gone.step(Event::Unroutable));
+    let answer = refusal(&gone.step(Event::Unroutable));
     assert_eq!(answer, Some((Outcome::Unknown, Reason::Unroutable)));
 }
 
@@ -237,7 +240,7 @@
     entry.routed(2, "two");
     assert_eq!(entry.step(Event::Unsent(attempt(1))), []);
     let unsent = entry.step(Event::Unsent(attempt(2)));
-    assert_eq!(told(&unsent), Some((Outcome::NotRun, Reason::Unsent)));
+    assert_eq!(refusal(&unsent), Some((Outcome::NotRun, Reason::Unsent)));
 }
 
 #[test]
--- a/crates/attempt/tests/explore/actions.rs
+++ b/crates/attempt/tests/explore/actions.rs
@@ -1,4 +1,4 @@
-//! What may happen next.
+//! The actions that are possible in a state.
 
 use crate::setup::{Action, Fate};
 use crate::world::{World, endpoint, number};
@@ -19,8 +19,8 @@
                     actions.push(Action::Unsend(index));
                 }
             }
-            if faults.doubled_frames > 0 {
-                actions.push(Action::Double(index));
+            if faults.duplicated_frames > 0 {
+                actions.push(Action::Duplicate(index));
             }
         }
         for number in 0..2 {
@@ -74,7 +74,7 @@
     }
 }
 
-/// Returns the agent that an entry takes.
+/// Returns the agent chosen by an entry.
 pub(crate) fn pick(entry: usize, (only, avoid): &(Option<Endpoint>, Vec<Endpoint>)) -> usize {
     match only {
         Some(only) => number(only),
--- a/crates/attempt/tests/explore/drive.rs
+++ b/crates/attempt/tests/explore/drive.rs
@@ -1,4 +1,4 @@
-//! The drivers of the decision code, and the platform and engines they meet.
+//! The drivers of the decision code, with a model of the platform and engines.
 
 use cactusnotch_attempt::{Answer, Command, Event};
 use cactusnotch_base::Outcome;
@@ -13,16 +13,16 @@
 use crate::world::{Call, Frame, World, ms, number as endpoint_number};
 
 impl World {
-    pub(crate) fn tell_entry(&mut self, number: usize, event: Event) {
+    pub(crate) fn step_entry(&mut self, number: usize, event: Event) {
         let now = self.now;
         let entry = &mut self.entries[number];
         if let Some(exchange) = &mut entry.exchange {
             let commands = exchange.step(event, now, &mut entry.budget);
-            self.obey(number, commands);
+            self.execute(number, commands);
         }
     }
 
-    pub(crate) fn obey(&mut self, number: usize, commands: Vec<Command>) {
+    pub(crate) fn execute(&mut self, number: usize, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::Route { only, avoid } => {
@@ -38,14 +38,14 @@
                     let link = Link(number as u64);
                     let writer = self.writer(number, &claim);
                     if !self.entries[writer].dead {
-                        self.tell_shard(writer, claim::Event::Ask { link, claim });
+                        self.step_shard(writer, claim::Event::Ask { link, claim });
                     }
                 }
                 Command::Send { endpoint, request } => self.frames.push(Frame::Up {
                     agent: endpoint_number(&endpoint),
                     link: Link(number as u64),
                     request,
-                    doubled: false,
+                    duplicated: false,
                 }),
                 Command::Piece { sequence, data } => {
                     self.entries[number]
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Returns the writer that is asked: the own one, and when the claim comes
-    /// again the other one.
+    /// Returns the writer for a claim: the entry's own one or, if the claim is
+    /// repeated, the other one.
     fn writer(&mut self, number: usize, claim: &Claim) -> usize {
         let attempt = claim.holder.attempt;
         let claimed = &mut self.entries[number].claimed;
@@ -71,7 +71,7 @@
 
     pub(crate) fn finish(&mut self, number: usize, answer: Answer) {
         let entry = &mut self.entries[number];
-        entry.lied = match &answer {
+        entry.false_not_run = match &answer {
             Answer::Refused {
                 outcome: Outcome::NotRun,
                 reason,
@@ -85,7 +85,7 @@
         entry.answer = Some(answer);
     }
 
-    pub(crate) fn tell_shard(&mut self, number: usize, event: claim::Event) {
+    pub(crate) fn step_shard(&mut self, number: usize, event: claim::Event) {
         let wall = SystemTime::UNIX_EPOCH + ms(1_000_000) + (self.now - self.origin);
         let commands = self.entries[number].shard.step(event, self.now, wall);
         for command in commands {
@@ -104,10 +104,10 @@
                     self.held |= matches!(answer, claim::Answer::Held(_));
                     let asker = usize::try_from(link.0).expect("two entries");
                     if !self.entries[asker].dead {
-                        self.tell_entry(asker, Event::Claimed { attempt, answer });
+                        self.step_entry(asker, Event::Claimed { attempt, answer });
                     }
                 }
-                claim::Command::Delete { .. } => unreachable!("no batch grows old here"),
+                claim::Command::Delete { .. } => unreachable!("no batch expires in the model"),
             }
         }
     }
@@ -154,7 +154,7 @@
             },
             (Call::List(_), _) => claim::Event::Unlisted,
         };
-        self.tell_shard(entry, event);
+        self.step_shard(entry, event);
     }
 
     pub(crate) fn deliver(&mut self, frame: Frame) {
@@ -165,13 +165,13 @@
                 request,
                 ..
             } => {
-                self.tell_agent(agent, ledger::Event::Request { link, request });
+                self.step_agent(agent, ledger::Event::Request { link, request });
             }
-            Frame::Down { entry, reply } => self.tell_entry(entry, Event::Reply(reply)),
+            Frame::Down { entry, reply } => self.step_entry(entry, Event::Reply(reply)),
         }
     }
 
-    pub(crate) fn tell_agent(&mut self, number: usize, event: ledger::Event) {
+    pub(crate) fn step_agent(&mut self, number: usize, event: ledger::Event) {
         let agent = &mut self.agents[number];
         for command in agent.ledger.step(event, self.now) {
             match command {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// The engine makes the next piece, or ends the answer.
+    /// Lets the engine produce the next piece, or end the answer.
     pub(crate) fn engine(&mut self, number: usize) {
         let (attempt, made) = &mut self.agents[number].runs[0];
         let attempt = *attempt;
@@ -207,6 +207,6 @@
             self.agents[number].runs.remove(0);
             ledger::Event::Done(attempt)
         };
-        self.tell_agent(number, event);
+        self.step_agent(number, event);
     }
 }
--- a/crates/attempt/tests/explore/main.rs
+++ b/crates/attempt/tests/explore/main.rs
@@ -1,7 +1,8 @@
-//! All courses of a small model, over the decision code of the three crates.
+//! All paths of a small model over the decision code of `claim`, `ledger` and
+//! `attempt`.
 //!
-//! Frames are taken in any order. The number of faults of each kind and of
-//! visited states is bounded, and each test prints what it saw.
+//! Frames are delivered in any order. The number of faults of each kind and of
+//! visited states is bounded, and each test prints its counts.
 
 mod actions;
 mod drive;
@@ -17,10 +18,10 @@
 use setup::{Faults, KINDS, Setup};
 use world::World;
 
-/// How many states a search visits in a debug build.
+/// The maximum number of states visited by a search in a debug build.
 const STATES: usize = 60_000;
 
-/// More states than the model has with one fault.
+/// A limit above the number of states of the model with one fault.
 const ALL: usize = 1_000_000;
 
 fn run(name: &str, ticket: bool, pieces: u64, faults: Faults) -> Report {
@@ -90,7 +91,7 @@
 fn claims_hold_when_an_agent_is_replaced_empty() {
     let faults = Faults {
         killed_agents: 1,
-        doubled_frames: 1,
+        duplicated_frames: 1,
         advances: 2,
         ..Faults::default()
     };
@@ -102,7 +103,7 @@
 fn claims_hold_when_frames_are_lost_and_doubled() {
     let faults = Faults {
         lost_frames: 1,
-        doubled_frames: 1,
+        duplicated_frames: 1,
         lost_links: 1,
         advances: 2,
         ..Faults::default()
@@ -115,7 +116,7 @@
 fn tickets_hold_when_agents_and_frames_fail() {
     let faults = Faults {
         killed_agents: 1,
-        doubled_frames: 1,
+        duplicated_frames: 1,
         lost_links: 1,
         drains: 1,
         advances: 2,
@@ -150,12 +151,12 @@
     explore(World::new(setup), STATES);
 }
 
-/// Takes one course through the model, as `choices` say, with faults of all
-/// kinds, and checks every state on it.
+/// Follows one path through the model, selected by `choices`, with faults of
+/// all kinds, and checks every state on it.
 fn walk(ticket: bool, repeat: Repeat, choices: &[u16]) -> Result<(), TestCaseError> {
     let faults = Faults {
         lost_frames: 2,
-        doubled_frames: 2,
+        duplicated_frames: 2,
         lost_links: 2,
         killed_entries: 1,
         killed_agents: 2,
@@ -170,7 +171,7 @@
         faults,
         conditional: true,
     });
-    let mut course = Vec::new();
+    let mut path = Vec::new();
     for choice in choices {
         let mut actions = world.actions();
         if actions.is_empty() {
@@ -178,10 +179,10 @@
         }
         let action = actions.swap_remove(usize::from(*choice) % actions.len());
         world.act(&action);
-        course.push(action);
+        path.push(action);
         world
             .check()
-            .map_err(|broken| TestCaseError::fail(format!("{broken}\n{course:#?}")))?;
+            .map_err(|broken| TestCaseError::fail(format!("{broken}\n{path:#?}")))?;
     }
     Ok(())
 }
--- a/crates/attempt/tests/explore/promises.rs
+++ b/crates/attempt/tests/explore/promises.rs
@@ -1,4 +1,4 @@
-//! What must hold in every state.
+//! The guarantees that must hold in every state.
 
 use cactusnotch_attempt::Answer;
 use cactusnotch_base::Outcome;
@@ -8,7 +8,7 @@
 use crate::world::World;
 
 impl World {
-    /// Tells which promise is broken, if any.
+    /// Returns the violated guarantee, if any.
     pub fn check(&self) -> Result<(), String> {
         let once = self.setup.repeat == Repeat::Once;
         if once && self.starts.len() > 1 {
@@ -25,15 +25,15 @@
                     ..
                 }) if ran => {
                     return Err(format!(
-                        "entry {number} told not-run of an attempt that started"
+                        "entry {number} reported not-run for an attempt that started"
                     ));
                 }
                 Some(Answer::Whole { total }) => self.check_whole(number, *total)?,
                 _ => {}
             }
-            if once && entry.lied {
+            if once && entry.false_not_run {
                 return Err(format!(
-                    "entry {number} told not-run of a key that had started"
+                    "entry {number} reported not-run for a key that had started"
                 ));
             }
         }
@@ -50,13 +50,13 @@
             .all(|(sequence, data)| Some(data[0]) == runner && u64::from(data[1]) == *sequence);
         if numbers != expected || total.0 != self.setup.pieces || !own {
             return Err(format!(
-                "entry {number} passed an answer on that is not whole: {passed:?}"
+                "entry {number} passed on an answer that is not complete: {passed:?}"
             ));
         }
         Ok(())
     }
 
-    pub fn told_whole(&self) -> bool {
+    pub fn answered_whole(&self) -> bool {
         let mut answers = self
             .entries
             .iter()
@@ -64,20 +64,20 @@
         answers.any(|answer| matches!(answer, Answer::Whole { .. }))
     }
 
-    pub fn told_not_run(&self) -> bool {
-        self.told(Outcome::NotRun)
+    pub fn answered_not_run(&self) -> bool {
+        self.answered(Outcome::NotRun)
     }
 
-    pub fn told_unknown(&self) -> bool {
-        self.told(Outcome::Unknown)
+    pub fn answered_unknown(&self) -> bool {
+        self.answered(Outcome::Unknown)
     }
 
-    pub(crate) fn told(&self, sought: Outcome) -> bool {
+    pub(crate) fn answered(&self, expected: Outcome) -> bool {
         let mut answers = self
             .entries
             .iter()
             .filter_map(|entry| entry.answer.as_ref());
         answers
-            .any(|answer| matches!(answer, Answer::Refused { outcome, .. } if *outcome == sought))
+            .any(|answer| matches!(answer, Answer::Refused { outcome, .. } if *outcome == expected))
     }
 }
--- a/crates/attempt/tests/explore/search.rs
+++ b/crates/attempt/tests/explore/search.rs
@@ -1,11 +1,11 @@
-//! A breadth-first search over all courses of a small model.
+//! A breadth-first search over all paths of a small model.
 
 use std::collections::HashSet;
 
 use crate::setup::Action;
 use crate::world::{World, hash};
 
-/// What a search saw.
+/// The counts of a search.
 #[derive(Debug, Default)]
 pub struct Report {
     pub visited: usize,
@@ -18,12 +18,12 @@
     pub held: usize,
 }
 
-/// Visits the states that can be reached from `start`, nearest first, until
-/// `limit` of them were seen.
+/// Visits the states reachable from `start`, nearest first, up to `limit` of
+/// them.
 ///
 /// # Panics
 ///
-/// Panics with the shortest course to a state that breaks a promise.
+/// Panics with the shortest path to a state that violates a guarantee.
 pub fn explore(start: World, limit: usize) -> Report {
     let mut seen = HashSet::from([hash(&start)]);
     let mut steps: Vec<(usize, Action)> = vec![(0, Action::Advance)];
@@ -45,7 +45,7 @@
                 steps.push((parent, action));
                 let number = steps.len() - 1;
                 if let Err(broken) = after.check() {
-                    panic!("{broken}\n{}", course(&steps, number));
+                    panic!("{broken}\n{}", path(&steps, number));
                 }
                 report.count(&after);
                 next.push((number, after));
@@ -63,15 +63,15 @@
 impl Report {
     pub(crate) fn count(&mut self, world: &World) {
         self.visited += 1;
-        self.whole += usize::from(world.told_whole());
-        self.not_run += usize::from(world.told_not_run());
-        self.unknown += usize::from(world.told_unknown());
+        self.whole += usize::from(world.answered_whole());
+        self.not_run += usize::from(world.answered_not_run());
+        self.unknown += usize::from(world.answered_unknown());
         self.moved += usize::from(world.moved);
         self.held += usize::from(world.held);
     }
 }
 
-pub(crate) fn course(steps: &[(usize, Action)], mut number: usize) -> String {
+pub(crate) fn path(steps: &[(usize, Action)], mut number: usize) -> String {
     let mut lines = Vec::new();
     while number > 0 {
         let (parent, action) = &steps[number];
--- a/crates/attempt/tests/explore/setup.rs
+++ b/crates/attempt/tests/explore/setup.rs
@@ -1,12 +1,12 @@
-//! What is tried, and what may happen.
+//! The configuration of a search, its faults and its actions.
 
 use cactusnotch_ledger::message::Repeat;
 
-/// The faults that may still happen.
+/// The number of faults of each kind that may still occur.
 #[derive(Debug, Clone, Copy, Default, Hash)]
 pub struct Faults {
     pub lost_frames: u8,
-    pub doubled_frames: u8,
+    pub duplicated_frames: u8,
     pub lost_links: u8,
     pub killed_entries: u8,
     pub killed_agents: u8,
@@ -15,23 +15,23 @@
     pub drains: u8,
 }
 
-/// What is tried.
+/// The configuration of a search.
 #[derive(Debug, Clone, Hash)]
 pub struct Setup {
     pub ticket: bool,
     pub repeat: Repeat,
     pub pieces: u64,
     pub faults: Faults,
-    /// Whether the platform heeds the condition that a number be absent.
+    /// Whether the platform checks the condition that a number is absent.
     pub conditional: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fate {
     Done,
-    /// The effect takes place, and the reply is lost.
+    /// The call takes effect, but the reply is lost.
     ReplyLost,
-    /// The reply is lost, and the effect takes place at any later time.
+    /// The reply is lost, and the call takes effect at any later time.
     Delayed,
     /// The platform is down.
     Down,
@@ -41,13 +41,13 @@
 pub enum Action {
     /// The caller sends the request again, to the other entry.
     Resend,
-    /// The entry takes an agent as it is, or as it was before it was replaced.
+    /// The entry chooses an agent, with its current or its initial terms.
     Route(usize, bool),
     Deliver(usize),
     Lose(usize),
-    /// The entry finds that it has no connection for a run.
+    /// The entry has no connection on which to send a run.
     Unsend(usize),
-    Double(usize),
+    Duplicate(usize),
     Engine(usize),
     Call(usize, Fate),
     /// A delayed write takes effect.
@@ -59,13 +59,13 @@
     Advance,
 }
 
-/// A kind of faults, and a step that allows one more of it.
+/// A kind of fault, and a function that allows one more of it.
 pub type Kind = (&'static str, fn(&mut Faults));
 
 /// The kinds of faults.
 pub const KINDS: [Kind; 7] = [
     ("lost frame", |faults| faults.lost_frames += 1),
-    ("doubled frame", |faults| faults.doubled_frames += 1),
+    ("duplicated frame", |faults| faults.duplicated_frames += 1),
     ("lost link", |faults| faults.lost_links += 1),
     ("killed entry", |faults| faults.killed_entries += 1),
     ("killed agent", |faults| faults.killed_agents += 1),
--- a/crates/attempt/tests/explore/world.rs
+++ b/crates/attempt/tests/explore/world.rs
@@ -1,4 +1,4 @@
-//! Two entries, two agents, the platform and one key, with all their faults.
+//! The model: two entries, two agents, the platform and one key, with faults.
 
 use std::hash::Hash;
 use std::time::Duration;
@@ -22,8 +22,8 @@
         agent: usize,
         link: Link,
         request: Request,
-        /// Whether a copy of it has come to the agent.
-        doubled: bool,
+        /// Whether a copy of the frame has reached the agent.
+        duplicated: bool,
     },
     Down {
         entry: usize,
@@ -32,13 +32,13 @@
 }
 
 impl Frame {
-    /// Tells whether this is a run of which the agent has seen no copy.
+    /// Returns whether this is a run of which no copy has reached the agent.
     pub(crate) fn is_fresh_run(&self) -> bool {
         matches!(
             self,
             Self::Up {
                 request: Request::Run(_),
-                doubled: false,
+                duplicated: false,
                 ..
             }
         )
@@ -63,17 +63,17 @@
     pub(crate) claimed: Vec<Attempt>,
     pub(crate) passed: Vec<(u64, Vec<u8>)>,
     pub(crate) answer: Option<Answer>,
-    /// Whether the key had started before the request came here.
+    /// Whether the key had started before the request arrived here.
     pub(crate) late: bool,
-    /// Whether `not-run` was told all the same, though the key was looked up.
-    pub(crate) lied: bool,
+    /// Whether `not-run` was nevertheless reported after a lookup of the key.
+    pub(crate) false_not_run: bool,
     pub(crate) dead: bool,
 }
 
 #[derive(Debug, Clone, Hash)]
 pub(crate) struct Agent {
     pub(crate) ledger: Ledger,
-    /// The runs at the engine with the pieces each has made.
+    /// The runs at the engine, with the number of pieces of each.
     pub(crate) runs: Vec<(Attempt, u64)>,
     pub(crate) replaced: bool,
 }
@@ -134,7 +134,7 @@
             passed: Vec::new(),
             answer: None,
             late: false,
-            lied: false,
+            false_not_run: false,
             dead: false,
         };
         let agent = |number| Agent {
@@ -160,7 +160,7 @@
         world
     }
 
-    /// Returns what an entry knows of an agent, now or from its beginning.
+    /// Returns the terms of an agent, current or from the start of the model.
     pub(crate) fn terms(&self, agent: usize, fresh: bool) -> Terms {
         let ledger = &self.agents[agent].ledger;
         let (incarnation, age) = if fresh {
@@ -212,7 +212,7 @@
             Exchange::new(order, options, now, &mut self.entries[entry].budget);
         self.entries[entry].exchange = Some(exchange);
         self.entries[entry].late = !self.starts.is_empty();
-        self.obey(entry, commands);
+        self.execute(entry, commands);
     }
 
     pub fn act(&mut self, action: &Action) {
@@ -227,11 +227,11 @@
                 self.setup.faults.lost_frames -= 1;
                 self.frames.remove(index);
             }
-            Action::Double(index) => {
-                self.setup.faults.doubled_frames -= 1;
+            Action::Duplicate(index) => {
+                self.setup.faults.duplicated_frames -= 1;
                 let frame = self.frames[index].clone();
-                if let Frame::Up { doubled, .. } = &mut self.frames[index] {
-                    *doubled = true;
+                if let Frame::Up { duplicated, .. } = &mut self.frames[index] {
+                    *duplicated = true;
                 }
                 self.deliver(frame);
             }
@@ -239,7 +239,7 @@
                 self.setup.faults.lost_frames -= 1;
                 if let Frame::Up { link, request, .. } = self.frames.remove(index) {
                     let entry = usize::try_from(link.0).expect("two entries");
-                    self.tell_entry(entry, Event::Unsent(request.attempt()));
+                    self.step_entry(entry, Event::Unsent(request.attempt()));
                 }
             }
             Action::Engine(agent) => self.engine(agent),
@@ -253,7 +253,7 @@
             Action::LoseLink(entry, agent) => self.lose_link(entry, agent),
             Action::Drain(agent) => {
                 self.setup.faults.drains -= 1;
-                self.tell_agent(agent, ledger::Event::Drain);
+                self.step_agent(agent, ledger::Event::Drain);
             }
             Action::Advance => self.advance(),
         }
@@ -277,7 +277,7 @@
             reported_at,
             attempt,
         };
-        self.tell_entry(entry, event);
+        self.step_entry(entry, event);
     }
 
     pub(crate) fn kill_entry(&mut self, number: usize) {
@@ -288,7 +288,7 @@
             self.delayed.push((at, batch));
         }
         for agent in 0..2 {
-            self.tell_agent(agent, ledger::Event::LinkLost(Link(number as u64)));
+            self.step_agent(agent, ledger::Event::LinkLost(Link(number as u64)));
         }
     }
 
@@ -303,11 +303,11 @@
 
     pub(crate) fn lose_link(&mut self, entry: usize, agent: usize) {
         self.setup.faults.lost_links -= 1;
-        self.tell_agent(agent, ledger::Event::LinkLost(Link(entry as u64)));
-        self.tell_entry(entry, Event::LinkLost(endpoint(agent)));
+        self.step_agent(agent, ledger::Event::LinkLost(Link(entry as u64)));
+        self.step_entry(entry, Event::LinkLost(endpoint(agent)));
     }
 
-    /// Time goes on to the next timer of an entry, and it fires.
+    /// Advances the time to the next timer of an entry, which fires.
     pub(crate) fn advance(&mut self) {
         self.setup.faults.advances -= 1;
         let wakes = self
@@ -322,15 +322,15 @@
         self.now = later.min().unwrap_or(self.now + ms(40));
         for number in 0..2 {
             if !self.entries[number].dead {
-                self.tell_shard(number, claim::Event::Tick);
-                self.tell_entry(number, Event::Timer);
+                self.step_shard(number, claim::Event::Tick);
+                self.step_entry(number, Event::Timer);
             }
-            self.tell_agent(number, ledger::Event::Tick);
+            self.step_agent(number, ledger::Event::Tick);
         }
     }
 }
 
-/// Returns a hash that is the same for equal values.
+/// Returns a hash that is equal for equal values.
 pub fn hash(value: &impl Hash) -> u128 {
     let mut hasher = Xxh3::new();
     value.hash(&mut hasher);
--- a/crates/position/src/era.rs
+++ b/crates/position/src/era.rs
@@ -1,10 +1,11 @@
-//! How often a store has come back from an older copy.
+//! The era of a store.
 
 use std::fmt;
 
 use cactusnotch_derive::number;
 
-/// How often a store has come back from an older copy; zero for one that doesn't say so.
+/// The number of times that a store was restored from an older copy. It is zero for a store that
+/// does not report it.
 #[number]
 pub struct Era(pub u64);
 
--- a/crates/position/src/eras.rs
+++ b/crates/position/src/eras.rs
@@ -1,4 +1,4 @@
-//! The eras of a store, as one process sees them.
+//! The eras of a store, as observed by one process.
 
 use std::cell::Cell;
 
@@ -7,44 +7,44 @@
 
 use crate::era::Era;
 
-/// What an answer of the store says of its era.
+/// How the era of an answer of the store relates to the current era.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// It is of the newest era.
+    /// The answer belongs to the current era.
     Current,
-    /// It is of a newer era than all before: the store came back from an older copy.
+    /// The answer belongs to a newer era: the store was restored from an older copy.
     Newer,
-    /// It is of an era that has ended, so that what it says may be gone.
+    /// The answer belongs to an era that has ended, so its content may have been lost.
     Ended,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Current {
     era: Era,
-    /// When this process heard of it first.
-    heard: Instant,
-    /// Since when the store serves in it, as far as that is known: one that is away refuses
-    /// calls in its new era already, and nobody can write to it.
+    /// When this process first observed the era, or received a report of it.
+    first_seen: Instant,
+    /// Since when the store is known to serve calls in the era. An unavailable store may refuse
+    /// calls in its new era, and cannot be written to until it serves.
     serving: Option<Instant>,
-    /// Whether it may have begun shortly before, so that not all that is gone with the era
-    /// before has been written again.
-    may_be_young: bool,
+    /// Whether the era may have begun recently, so that some of the data lost with the earlier
+    /// era may not have been rewritten.
+    may_be_unsettled: bool,
 }
 
-/// The eras of a store, as one process sees them. Only the store's own answers end an era;
-/// what others tell is a reason to ask the store.
+/// The eras of a store, as observed by one process. Only the store's own answers end an era;
+/// a report by another process is only a reason to query the store.
 #[derive(Debug, Default)]
 pub struct Eras {
     current: Cell<Option<Current>>,
-    /// What another process has told last, and when.
-    told: Cell<Option<(Era, Instant)>>,
-    /// Whether the store is to be asked for the sake of that.
+    /// The last era reported by another process, with the time of the report.
+    reported: Cell<Option<(Era, Instant)>>,
+    /// Whether the store must be queried because of that report.
     unconfirmed: Cell<bool>,
     changed: Notify,
 }
 
 impl Eras {
-    /// Takes the era that an answer of the store names.
+    /// Records the era named in an answer of the store.
     pub fn observe(&self, era: Era, now: Instant) -> Observation {
         self.unconfirmed.set(false);
         let known = self.current.get();
@@ -53,12 +53,12 @@
             Some(known) if era == known.era => return Observation::Current,
             _ => {}
         }
-        let told = self.told.get().filter(|(told, _)| *told == era);
+        let reported = self.reported.get().filter(|(reported, _)| *reported == era);
         self.current.set(Some(Current {
             era,
-            heard: told.map_or(now, |(_, at)| at),
+            first_seen: reported.map_or(now, |(_, at)| at),
             serving: None,
-            may_be_young: known.is_some() || era > Era::default(),
+            may_be_unsettled: known.is_some() || era > Era::default(),
         }));
         let Some(known) = known else {
             return Observation::Current;
@@ -72,31 +72,38 @@
         Observation::Newer
     }
 
-    /// Takes that the store has served a call in the current era. Another process may have
-    /// told before that it was served in it.
+    /// Records that the store has served a call in the current era. If another process reported
+    /// this era earlier, the time of that report counts.
     pub fn record_served(&self, now: Instant) {
         let current = self.current.get();
         let Some(known) = current.filter(|known| known.serving.is_none()) else {
             return;
         };
-        let told = self.told.get().filter(|(told, _)| *told == known.era);
-        let serving = Some(told.map_or(now, |(_, at)| at));
+        let reported = self
+            .reported
+            .get()
+            .filter(|(reported, _)| *reported == known.era);
+        let serving = Some(reported.map_or(now, |(_, at)| at));
         self.current.set(Some(Current { serving, ..known }));
     }
 
-    /// Takes that the store serves again after an outage: what it lost when an era began that
-    /// is young still can be written again from now on.
+    /// Records that the store serves again after an outage. If the era is unsettled, the data
+    /// lost at its beginning can be rewritten only from now on.
     pub fn record_return(&self, now: Instant) {
-        if let Some(known) = self.current.get().filter(|known| known.may_be_young) {
+        if let Some(known) = self.current.get().filter(|known| known.may_be_unsettled) {
             let serving = known.serving.max(Some(now));
             self.current.set(Some(Current { serving, ..known }));
         }
     }
 
-    /// Takes that another process was served in `era`, which is in doubt until the store is asked.
+    /// Records a report by another process that it was served in `era`. The era is unconfirmed
+    /// until the store is queried.
     pub fn record_report(&self, era: Era, now: Instant) {
-        let is_told = self.told.get().is_some_and(|(told, _)| told == era);
-        if era <= self.current() || is_told {
+        let is_repeated = self
+            .reported
+            .get()
+            .is_some_and(|(reported, _)| reported == era);
+        if era <= self.current() || is_repeated {
             return;
         }
         tracing::info!(
@@ -104,26 +111,26 @@
             known = self.current().0,
             "another process knows a newer era of the store"
         );
-        self.told.set(Some((era, now)));
+        self.reported.set(Some((era, now)));
         self.unconfirmed.set(true);
         self.changed.notify_waiters();
     }
 
-    /// Takes that `era` is known to have lasted so long that what was lost with the era before
-    /// has been written again; returns whether that was not known of the current one.
+    /// Marks `era` as settled: it has lasted long enough for the data lost with the earlier era
+    /// to be rewritten. Returns true if it is the current era and was unsettled.
     pub fn settle(&self, era: Era) -> bool {
         let current = self.current.get();
-        let Some(known) = current.filter(|known| known.era == era && known.may_be_young) else {
+        let Some(known) = current.filter(|known| known.era == era && known.may_be_unsettled) else {
             return false;
         };
         self.current.set(Some(Current {
-            may_be_young: false,
+            may_be_unsettled: false,
             ..known
         }));
         true
     }
 
-    /// Tells whether the store is to be asked, since another process knows a newer era.
+    /// Returns whether the store must be queried because another process reported a newer era.
     #[must_use]
     pub const fn is_unconfirmed(&self) -> bool {
         self.unconfirmed.get()
@@ -137,16 +144,16 @@
             .map_or_else(Era::default, |known| known.era)
     }
 
-    /// Returns since when the store is known to serve in this era, if it may have come back
-    /// from an older copy shortly before.
+    /// Returns since when the store is known to serve in the current era, if the era is
+    /// unsettled: the store may have been restored from an older copy recently.
     #[must_use]
     pub fn unsettled_since(&self) -> Option<Instant> {
         let known = self.current.get()?;
-        let since = known.serving.unwrap_or(known.heard);
-        known.may_be_young.then_some(since)
+        let since = known.serving.unwrap_or(known.first_seen);
+        known.may_be_unsettled.then_some(since)
     }
 
-    /// Waits until the store has come back from an older copy, or may have.
+    /// Waits until a newer era is observed or reported.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
--- a/crates/position/src/lib.rs
+++ b/crates/position/src/lib.rs
@@ -1,8 +1,8 @@
 //! Positions in the order of a store's changes, over the eras of the store.
 //!
-//! A store may come back from a copy some seconds old. What it had acknowledged since is gone,
-//! and its revisions are given out again for other changes, so that a revision means nothing
-//! without the era in which it was read.
+//! A store may be restored from a copy that is some seconds old. The changes that it had
+//! acknowledged since are lost, and their revisions are assigned again to other changes. A
+//! revision is therefore meaningful only together with the era in which it was read.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/position/src/position.rs
+++ b/crates/position/src/position.rs
@@ -1,4 +1,4 @@
-//! A place in the order of a store's changes.
+//! A position in the sequence of a store's changes.
 
 use std::cmp::Ordering;
 use std::fmt;
@@ -7,41 +7,42 @@
 
 use crate::era::Era;
 
-/// A place in the order of a store's changes: a revision, and the era in which it was read.
+/// A position in the sequence of a store's changes: a revision, and the era in which it was read.
 ///
-/// Positions of one era are in the order of their revisions. Of positions of two eras neither
-/// is before the other: the older one may stand for a change that is gone.
+/// Positions of the same era are ordered by revision. Positions of different eras are not
+/// comparable, because the earlier one may refer to a change that was lost.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Position(Era, u64);
 
 impl Position {
-    /// Creates the position of `revision`, as it was read in `era`.
+    /// Creates the position of `revision`, read in `era`.
     #[must_use]
     pub const fn new(era: Era, revision: u64) -> Self {
         Self(era, revision)
     }
 
-    /// Returns the era in which it was read.
+    /// Returns the era in which the position was read.
     #[must_use]
     pub const fn era(self) -> Era {
         self.0
     }
 
-    /// Returns its revision as it is written and logged, which can't be compared.
+    /// Returns the revision for output only: the returned type can't be compared.
     #[must_use]
     pub const fn revision(self) -> impl fmt::Display + fmt::Debug {
         self.1
     }
 
-    /// Returns the one of both that tells more: that of the newer era, or the later of one.
+    /// Returns the newer of both positions: that of the later era or, within the same era, that
+    /// of the higher revision.
     #[must_use]
     pub fn newest(self, other: Self) -> Self {
         let is_newer = other.0 > self.0 || other > self;
         if is_newer { other } else { self }
     }
 
-    /// Tells whether both may stand for the same change, read in two eras: a copy has the
-    /// changes before it under the revisions that they had.
+    /// Returns whether both may refer to the same change, possibly read in two eras: the changes
+    /// before a copy keep their revisions when the store is restored from it.
     #[must_use]
     pub const fn may_be_same(self, other: Self) -> bool {
         self.1 == other.1
--- a/crates/position/tests/eras.rs
+++ b/crates/position/tests/eras.rs
@@ -1,4 +1,4 @@
-//! The eras of a store, first hand and by what others tell.
+//! The eras of a store, observed directly and reported by other processes.
 
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
     assert_eq!(
         eras.observe(Era(0), now),
         Observation::Ended,
-        "nor does one without an era"
+        "an answer without an era has ended too"
     );
     assert_eq!(eras.current(), Era(2));
 }
@@ -53,17 +53,18 @@
     let (eras, now) = start();
     eras.observe(Era(2), now);
     assert!(!eras.settle(Era(1)));
-    assert!(!eras.settle(Era(3)), "nothing is known of it");
+    assert!(!eras.settle(Era(3)), "the era was never observed");
     assert_eq!(eras.unsettled_since(), Some(now));
     assert!(eras.settle(Era(2)));
-    assert!(!eras.settle(Era(2)), "it is known");
+    assert!(!eras.settle(Era(2)), "already settled");
     assert_eq!(eras.unsettled_since(), None);
     assert_eq!(eras.observe(Era(2), now), Observation::Current);
     assert_eq!(eras.observe(Era(3), now), Observation::Newer);
     assert_eq!(eras.unsettled_since(), Some(now));
 }
 
-/// Grounds: a store that is away for seconds refuses calls, and states its new era as it does.
+/// A store that is unavailable for seconds refuses calls, but its refusals already carry the new
+/// era. The time of such a refusal must not count as the start of service.
 #[test]
 fn an_era_is_young_from_when_the_store_serves_in_it() {
     let (eras, now) = start();
@@ -76,7 +77,7 @@
     assert_eq!(eras.unsettled_since(), Some(at(4)));
     eras.record_served(at(5));
     assert_eq!(eras.unsettled_since(), Some(at(4)));
-    // It was away once more before all was written again.
+    // A second outage occurs before all data was rewritten.
     eras.record_return(at(7));
     assert_eq!(eras.unsettled_since(), Some(at(7)));
     assert!(eras.settle(Era(1)));
@@ -90,20 +91,27 @@
     eras.observe(Era(1), now);
     eras.record_report(Era(1), now);
     assert!(!eras.is_unconfirmed());
-    // Of a datagram that was spoilt, maybe.
+    // This era may come from a corrupted datagram.
     eras.record_report(Era(900), now);
     assert!(eras.is_unconfirmed());
     assert_eq!(eras.current(), Era(1));
     eras.observe(Era(1), now);
     assert!(!eras.is_unconfirmed());
     eras.record_report(Era(900), now);
-    assert!(!eras.is_unconfirmed(), "once is enough");
-    let told = now + Duration::from_secs(1);
-    eras.record_report(Era(2), told);
-    assert!(eras.is_unconfirmed(), "it takes no later word away");
+    assert!(!eras.is_unconfirmed(), "a repeated report is ignored");
+    let reported = now + Duration::from_secs(1);
+    eras.record_report(Era(2), reported);
+    assert!(
+        eras.is_unconfirmed(),
+        "a refuted report does not suppress a later one"
+    );
     assert_eq!(
-        eras.observe(Era(2), told + Duration::from_secs(1)),
+        eras.observe(Era(2), reported + Duration::from_secs(1)),
         Observation::Newer
     );
-    assert_eq!(eras.unsettled_since(), Some(told), "it had begun by then");
+    assert_eq!(
+        eras.unsettled_since(),
+        Some(reported),
+        "the era had begun at the time of the report"
+    );
 }
--- a/crates/position/tests/progress.rs
+++ b/crates/position/tests/progress.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of endpoints never skips a change, whatever it is told.
+//! An entry never skips a change of endpoints, in whatever order changes arrive.
 
 use cactusnotch_position::{Era, Position, Progress};
 use proptest::prelude::*;
@@ -14,14 +14,17 @@
     progress.advance(at(10));
     assert!(!progress.is_behind());
     assert!(progress.continues(at(10), at(12)));
-    assert!(progress.continues(at(7), at(12)), "some are known already");
+    assert!(
+        progress.continues(at(7), at(12)),
+        "some were applied already"
+    );
     assert!(!progress.continues(at(11), at(12)), "one may be missing");
     assert!(!progress.continues(at(7), at(10)), "nothing is new");
 }
 
 proptest! {
-    /// Batches of changes arrive in any order, late, doubled or not at all:
-    /// what is known is always a prefix of what has changed.
+    /// Batches of changes arrive in any order, late, duplicated or not at all:
+    /// the applied changes are always a prefix of all changes.
     #[test]
     fn what_is_known_is_complete(
         batches in proptest::collection::vec((0_u64..40, 1_u64..6), 0..60),
@@ -52,7 +55,8 @@
 fn an_answer_that_others_have_outrun_takes_nothing_back() {
     let mut progress = Progress::default();
     progress.advance(at(10));
-    // A watch from 10 is answered at 11 while a datagram brings all up to 12.
+    // A watch from 10 is answered with changes up to 11 while a datagram delivers
+    // all changes up to 12.
     assert!(progress.continues(at(10), at(12)));
     progress.advance(at(12));
     assert!(!progress.continues(at(10), at(11)));
@@ -72,7 +76,7 @@
     let again = Position::new(Era(2), 40);
     assert!(!progress.continues(Position::new(Era(2), 30), again));
     progress.record_reached(again);
-    assert!(!progress.is_behind(), "the era isn't known yet");
+    assert!(!progress.is_behind(), "the era was not observed yet");
     progress.advance(Position::new(Era(2), 30));
     assert_eq!(progress.known(), Position::new(Era(2), 30));
     progress.record_reached(again);
@@ -82,6 +86,6 @@
     assert_eq!(
         progress.known(),
         Position::new(Era(2), 30),
-        "an answer that was late"
+        "a late answer of the earlier era"
     );
 }
