--- a/crates/claim/src/shard.rs
+++ b/crates/claim/src/shard.rs
@@ -128,7 +128,7 @@
             record: Record::from(claim),
             since: now,
         };
-        match outcome(&self.log, &claim.record) {
+        match answer_from(&self.log, &claim.record) {
             Some(answer) => commands.push(answer_to(&claim, answer)),
             None if self.waiting.len() >= self.options.queue => {
                 commands.push(answer_to(&claim, Answer::Unavailable));
@@ -214,7 +214,7 @@
     fn answer_waiting(&mut self, commands: &mut Vec<Command>) {
         let log = &self.log;
         self.waiting.retain(|claim| {
-            let answer = outcome(log, &claim.record);
+            let answer = answer_from(log, &claim.record);
             let waits = answer.is_none();
             commands.extend(answer.map(|answer| answer_to(claim, answer)));
             waits
@@ -323,7 +323,7 @@
 }
 
 /// Returns the answer to a claim if the log determines it without a write.
-fn outcome(log: &Log, record: &Record) -> Option<Answer> {
+fn answer_from(log: &Log, record: &Record) -> Option<Answer> {
     match log.effect(record) {
         Effect::Granted => None,
         Effect::Unchanged => Some(Answer::Granted),
--- a/crates/claim/src/ticket.rs
+++ b/crates/claim/src/ticket.rs
@@ -20,7 +20,7 @@
 const DOMAIN: &[u8] = b"cactusnotch ticket 1";
 
 /// The maximum length of a ticket in bytes; longer keys are not parsed.
-const LIMIT: usize = 1024;
+const LENGTH_MAX: usize = 1024;
 
 /// A signed key that names the agent which may run its request.
 #[message]
@@ -129,7 +129,7 @@
     }
 
     fn open(&self, text: &str) -> Option<Ticket> {
-        if text.len() > LIMIT {
+        if text.len() > LENGTH_MAX {
             return None;
         }
         let (payload, signature) = text.strip_prefix(PREFIX)?.split_once('.')?;
--- a/crates/history/examples/order.rs
+++ b/crates/history/examples/order.rs
@@ -1,5 +1,5 @@
-//! Prints the sizes of entries and snapshots, the time that an entry takes,
-//! and the calls to the platform for each edit, at 910 organisations.
+//! Prints the sizes of entries and snapshots, the duration of a submission,
+//! and the calls to the platform for each edit, with 910 organisations.
 
 #[path = "../../settings/examples/support/mod.rs"]
 mod fleet;
@@ -14,7 +14,7 @@
 use serde::Serialize;
 use support::Memory;
 
-/// The changes of configuration of a day.
+/// The number of configuration changes per day.
 const EDITS: usize = 800;
 
 fn main() {
@@ -54,7 +54,7 @@
     let mut reader = Reader::new(store.clone(), Replica::new());
     let before = store.calls();
     let started = clock::now();
-    reader.sync().expect("the order can be read");
+    reader.sync().expect("the history can be read");
     let took = started.elapsed();
     let calls = store.calls() - before;
     println!("fresh reader               {calls} calls, {took:?}");
--- a/crates/history/src/call.rs
+++ b/crates/history/src/call.rs
@@ -1,4 +1,4 @@
-//! Calls to the platform that decisions ask for, and their replies.
+//! The calls to the platform that the decision code issues, and their replies.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 /// A call to the platform.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Call {
-    /// Lists the entries written after a version, zero for all of them.
+    /// Lists the entries written after a version; zero lists all entries.
     List {
         /// The version.
         after: Version,
-        /// How long to wait for the first one.
+        /// How long to wait for the first entry.
         wait: Duration,
     },
-    /// Reads up to which revision entries may have been trimmed.
+    /// Reads the floor, the revision up to which entries may have been deleted.
     ReadFloor,
     /// Reads the snapshot.
     ReadSnapshot,
@@ -36,50 +36,51 @@
 /// The reply to a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Reply {
-    /// The entries in order, and the version up to which they are complete.
+    /// The listed entries, sorted by revision, and the version up to which they
+    /// are complete.
     Listed {
         /// The entries that could be decoded.
         entries: Vec<Stored<Entry>>,
         /// The version.
         version: Version,
     },
-    /// The floor, which is zero as long as nothing was trimmed.
+    /// The floor, which is zero until entries are deleted.
     Floor {
         /// The revision.
         revision: Revision,
-        /// The condition under which it is still this one.
+        /// The condition for a write: the floor must be unchanged.
         condition: Condition,
     },
-    /// The snapshot, if there is one.
+    /// The snapshot, if it exists.
     Snapshot {
         /// The snapshot.
         snapshot: Option<Box<Stored<Snapshot>>>,
-        /// The condition under which it is still this one.
+        /// The condition for a write: the snapshot must be unchanged.
         condition: Condition,
     },
-    /// An entry, if there is one that can be decoded.
+    /// An entry, if it exists and can be decoded.
     Entry(Option<Box<Entry>>),
     /// A write took effect.
     Done,
-    /// A condition did not hold; with the entry that stands in the way.
+    /// A condition was not met; with the existing entry, if it can be decoded.
     Taken(Option<Box<Entry>>),
     /// The call had no effect.
     Failed {
         /// The platform's answer.
         detail: String,
     },
-    /// No answer came; a write may have taken effect or may still do so.
+    /// No answer arrived; a write may have taken effect or may still do so.
     Lost {
-        /// The failure of the transport.
+        /// The error of the transport.
         detail: String,
     },
 }
 
-/// What comes next: a call, or the result.
+/// The next step: a call, or the result.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Step<T> {
-    /// A call is to be made and its reply brought back.
+    /// The driver must perform the call and pass on its reply.
     Call(Call),
-    /// The work is done.
+    /// The result; no further call is needed.
     Done(T),
 }
--- a/crates/history/src/catchup.rs
+++ b/crates/history/src/catchup.rs
@@ -1,4 +1,4 @@
-//! Finding out what the platform holds beyond a revision.
+//! Fetching the part of the history after a revision.
 
 use std::time::Duration;
 
@@ -7,12 +7,13 @@
 
 use crate::{Call, Fetched, Reply, Step};
 
-/// Finds out what the platform holds beyond a revision, in two calls, or three
-/// if the revision is far behind.
+/// Fetches the part of the history after a revision, in two calls, or three if
+/// the revision is far behind.
 ///
-/// The floor is read after the entries were listed. An entry above that floor
-/// was never trimmed before, so that it is the only one of its number there
-/// ever was; entries at or below it prove nothing and are left out.
+/// The floor is read after the entries are listed. The number of an entry above
+/// that floor was never deleted, so the entry is the only one that ever had this
+/// number. An entry at or below the floor may be a late write under a deleted
+/// number, and is ignored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Catchup {
     held: Revision,
@@ -29,14 +30,14 @@
 }
 
 impl Catchup {
-    /// Creates the work of listing all entries, for a holder of `held`.
+    /// Creates a catch-up that lists all entries, for a replica at `held`.
     #[must_use]
     pub const fn new(held: Revision) -> Self {
         Self::after(held, Version(0), Duration::ZERO)
     }
 
-    /// Creates the work of listing the entries written after a version, and
-    /// of waiting for the first one.
+    /// Creates a catch-up that lists the entries written after a version, and
+    /// waits up to `wait` for the first one.
     #[must_use]
     pub const fn after(held: Revision, after: Version, wait: Duration) -> Self {
         Self {
@@ -56,26 +57,25 @@
         }
     }
 
-    /// Takes in the reply to the last call. A call without an answer is made
-    /// again.
+    /// Handles the reply to the last call. A call without an answer is repeated.
     pub fn step(&mut self, reply: Reply) -> Step<Fetched> {
         match (std::mem::replace(&mut self.state, State::Listing), reply) {
             (State::Listing, Reply::Listed { entries, version }) => {
                 let is_watch = self.after > Version(0);
-                let is_news = !is_watch || !entries.is_empty();
+                let has_changes = !is_watch || !entries.is_empty();
                 let found = Fetched {
                     snapshot: None,
                     entries,
                     version,
                 };
-                if !is_news {
+                if !has_changes {
                     return Step::Done(found);
                 }
                 self.state = State::ReadingFloor(found);
                 Step::Call(Call::ReadFloor)
             }
             (State::ReadingFloor(found), Reply::Floor { revision, .. }) => {
-                self.leave_out(found, revision)
+                self.exclude_trimmed(found, revision)
             }
             (State::ReadingSnapshot(mut found), Reply::Snapshot { snapshot, .. }) => {
                 found.snapshot = snapshot;
@@ -88,8 +88,8 @@
         }
     }
 
-    /// Leaves out the entries at and below the floor.
-    fn leave_out(&mut self, mut found: Fetched, floor: Revision) -> Step<Fetched> {
+    /// Removes the entries at and below the floor.
+    fn exclude_trimmed(&mut self, mut found: Fetched, floor: Revision) -> Step<Fetched> {
         found.entries.retain(|entry| entry.value.revision > floor);
         if floor <= self.held {
             return Step::Done(found);
--- a/crates/history/src/fold.rs
+++ b/crates/history/src/compaction.rs
@@ -1,4 +1,4 @@
-//! Renewing the snapshot and trimming the entries behind it.
+//! The renewal of the snapshot and the deletion of older entries.
 
 use std::time::Duration;
 
@@ -8,9 +8,9 @@
 use crate::{Call, Options, Replica, Reply, Snapshot, Step};
 
 /// Renews the snapshot, then raises the floor, then deletes the entries at and
-/// below the floor, each step only after the one before took effect.
+/// below the floor. Each step starts only after the preceding one took effect.
 #[derive(Debug, Clone)]
-pub struct Fold {
+pub struct Compaction {
     snapshot: Box<Snapshot>,
     options: Options,
     state: State,
@@ -27,8 +27,8 @@
     Removing(Vec<Revision>),
 }
 
-impl Fold {
-    /// Creates the work of folding what `replica` holds.
+impl Compaction {
+    /// Creates a compaction up to the newest revision of `replica`.
     #[must_use]
     pub fn new(replica: &Replica, options: &Options) -> Self {
         Self {
@@ -38,14 +38,14 @@
         }
     }
 
-    /// Begins.
+    /// Returns the first call.
     #[must_use]
     pub const fn start(&self) -> Call {
         Call::ReadFloor
     }
 
-    /// Takes in the reply to the last call; the result tells whether the fold
-    /// was completed. One that was not is made good by the next.
+    /// Handles the reply to the last call. The result is true if the compaction
+    /// completed; the next one continues an incomplete one.
     pub fn step(&mut self, reply: Reply) -> Step<bool> {
         match (self.state.clone(), reply) {
             (State::CheckingFloor, Reply::Floor { revision, .. }) => self.check(revision),
@@ -74,10 +74,10 @@
         }
     }
 
-    /// Goes on if enough entries have come together.
+    /// Continues if enough entries have accumulated.
     fn check(&mut self, floor: Revision) -> Step<bool> {
         let waiting = self.snapshot.revision.0.saturating_sub(floor.0);
-        if waiting < self.options.fold_every + self.options.keep {
+        if waiting < self.options.compaction_interval + self.options.retained {
             return Step::Done(true);
         }
         self.state = State::ReadingSnapshot;
@@ -94,7 +94,7 @@
     }
 
     fn read_floor(&mut self, stored: Revision) -> Step<bool> {
-        let target = Revision(stored.0.saturating_sub(self.options.keep));
+        let target = Revision(stored.0.saturating_sub(self.options.retained));
         self.state = State::ReadingFloor(target);
         Step::Call(Call::ReadFloor)
     }
--- a/crates/history/src/digest.rs
+++ b/crates/history/src/digest.rs
@@ -1,4 +1,4 @@
-//! Digests that chain the revisions.
+//! The digests that chain the revisions.
 
 use cactusnotch_derive::identifier;
 use derive_more::Display;
@@ -14,21 +14,21 @@
 pub struct Digest(String);
 
 impl Digest {
-    /// Returns the digest that the first entry carries.
+    /// Returns the digest carried by the first entry, which has no predecessor.
     #[must_use]
     pub fn genesis() -> Self {
         Self("0".repeat(2 * Sha256::output_size()))
     }
 
-    /// Returns the digest of `entry`, taken over its JSON text in the order
-    /// of its fields.
+    /// Returns the digest of `entry`, computed over its JSON text with the
+    /// fields in order of declaration.
     ///
     /// # Panics
     ///
-    /// Never: an entry always has a JSON text.
+    /// Never panics: every entry can be serialized as JSON.
     #[must_use]
     pub fn of(entry: &Entry) -> Self {
-        let text = serde_json::to_vec(entry).expect("an entry has a JSON text");
+        let text = serde_json::to_vec(entry).expect("an entry can be serialized as JSON");
         Self(format!("{:x}", Sha256::digest(text)))
     }
 }
--- a/crates/history/src/fetched.rs
+++ b/crates/history/src/fetched.rs
@@ -1,4 +1,4 @@
-//! What the platform was found to hold of the order.
+//! A part of the history, as fetched from the platform.
 
 use cactusnotch_derive::message;
 use cactusnotch_objects::object::Version;
@@ -15,12 +15,12 @@
     pub version: Version,
 }
 
-/// What the platform was found to hold of the order: nothing in it is a
-/// leftover of a number that was trimmed, so that it may be passed on.
+/// A part of the history, as fetched from the platform. It contains no entry
+/// whose number had been deleted and used again, so it may be passed on.
 #[message]
 #[derive(Eq)]
 pub struct Fetched {
-    /// The snapshot, if entries are missing without it.
+    /// The snapshot, if the entries alone leave a gap.
     pub snapshot: Option<Box<Stored<Snapshot>>>,
     /// The entries in order.
     pub entries: Vec<Stored<Entry>>,
--- a/crates/history/src/lib.rs
+++ b/crates/history/src/lib.rs
@@ -1,20 +1,23 @@
-//! The one total order over edits of the settings tree.
+//! The edit history of the settings tree, which is totally ordered.
 //!
-//! Edits become numbered revisions, each created in the platform's object API
-//! only if its number is free, each judged against the revision before it and
-//! each carrying that revision's digest. [`Replica`] is the state that every
-//! process keeps; it never goes back. [`Submission`], [`Catchup`] and [`Fold`]
-//! decide without I/O which calls to make; [`Writer`] and [`Reader`] make them
-//! on a [`cactusnotch_objects::Store`].
+//! Edits become numbered revisions. Each is created in the platform's object
+//! API only if its number is free, is validated against the revision before it
+//! and carries the digest of that revision. [`Replica`] is the state kept by
+//! every process; its revision never decreases. [`Submission`], [`Catchup`] and
+//! [`Compaction`] decide without I/O which calls to make; [`Writer`] and
+//! [`Reader`] make them on a [`cactusnotch_objects::Store`].
+//!
+//! [`Compaction`] deletes old entries. The floor is the revision up to which
+//! entries may have been deleted.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 mod call;
 mod catchup;
+mod compaction;
 mod digest;
 mod entry;
 mod fetched;
-mod fold;
 mod listing;
 mod offer;
 mod options;
@@ -31,10 +34,10 @@
 
 pub use call::{Call, Reply, Step};
 pub use catchup::Catchup;
+pub use compaction::Compaction;
 pub use digest::Digest;
 pub use entry::Entry;
 pub use fetched::{Fetched, Stored};
-pub use fold::Fold;
 pub use listing::{Listing, Row};
 pub use offer::{Answer, Offer};
 pub use options::Options;
--- a/crates/history/src/listing.rs
+++ b/crates/history/src/listing.rs
@@ -1,4 +1,4 @@
-//! The last edits as a table.
+//! A table of the latest edits.
 
 use std::fmt;
 use std::time::{Duration, SystemTime};
@@ -10,29 +10,29 @@
 
 use crate::{Entry, Replica};
 
-/// An accepted edit for people to read.
+/// An accepted edit in readable form.
 #[record]
 #[derive(Serialize)]
 pub struct Row {
-    /// The place in the order.
+    /// The position in the history.
     pub revision: Revision,
     /// The identity of the edit.
     pub edit: String,
-    /// When it was made, in seconds since the Unix epoch, if its identity
-    /// carries a time.
+    /// When the edit was created, in seconds since the Unix epoch, if its
+    /// identity contains a timestamp.
     pub time: Option<u64>,
-    /// How long ago that was, in seconds.
+    /// The time since the creation, in seconds.
     pub age: Option<u64>,
-    /// Who edited.
+    /// The author of the edit.
     pub author: String,
-    /// Why.
+    /// The reason given by the author.
     pub reason: String,
-    /// What the edit did.
+    /// The operations of the edit.
     pub operations: Vec<String>,
 }
 
-/// The last edits, the newest first. It shows as a table of text and
-/// serializes for machines.
+/// The latest edits, newest first. `Display` writes a text table; the serialized
+/// form is for programs.
 #[record]
 #[derive(Serialize)]
 #[serde(transparent)]
@@ -42,7 +42,7 @@
 }
 
 impl Listing {
-    /// Lists up to `count` of the edits that `replica` keeps, as of `now`.
+    /// Lists up to `count` of the edits retained by `replica`, as of `now`.
     #[must_use]
     pub fn new(replica: &Replica, count: usize, now: SystemTime) -> Self {
         let newest = replica.entries().iter().rev().take(count);
--- a/crates/history/src/offer.rs
+++ b/crates/history/src/offer.rs
@@ -1,4 +1,4 @@
-//! What processes tell one another about the order.
+//! Parts of the history exchanged between processes.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_derive::message;
@@ -6,7 +6,7 @@
 
 use crate::{Entry, Refusal, Snapshot};
 
-/// A part of the order that is offered to a replica.
+/// A part of the history that is offered to a replica.
 #[message]
 #[derive(Eq)]
 #[serde(rename_all = "kebab-case")]
@@ -17,25 +17,25 @@
     Snapshot(Box<Snapshot>),
 }
 
-/// What a replica made of an offer.
+/// The result of an offer to a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Answer {
-    /// All of the offer that was new has been applied.
+    /// The new part of the offer was applied.
     #[display("applied up to {to}")]
     Applied {
         /// The newest revision.
         to: Revision,
     },
-    /// The offer held nothing new.
+    /// The offer contained nothing new.
     #[display("nothing new")]
     Stale,
-    /// Entries are missing. Those before them have been applied.
+    /// Entries are missing. The entries before them were applied.
     #[display("entries from {from} on are missing")]
     Gap {
-        /// The first entry that is missing.
+        /// The first missing entry.
         from: Revision,
     },
-    /// The offer belongs to another order and was not applied.
+    /// The offer belongs to a different history and was not applied.
     #[display("the order differs at {at}")]
     Forked {
         /// The first entry known to differ.
@@ -49,16 +49,16 @@
         /// Why it is not valid.
         refusal: Refusal,
     },
-    /// A snapshot whose parts do not fit together was not applied.
+    /// An inconsistent snapshot was not applied.
     #[display("the snapshot of {at} does not fit together")]
     Inconsistent {
-        /// The revision that it claims.
+        /// The revision named in the snapshot.
         at: Revision,
     },
 }
 
 impl Answer {
-    /// Tells whether the replica now holds all that was offered.
+    /// Returns whether the replica now contains everything that was offered.
     #[must_use]
     pub const fn is_held(&self) -> bool {
         matches!(self, Self::Applied { .. } | Self::Stale)
--- a/crates/history/src/options.rs
+++ b/crates/history/src/options.rs
@@ -1,22 +1,21 @@
-//! How calls are repeated and the order is trimmed.
+//! Options for retries and for compaction.
 
 use std::time::Duration;
 
-/// How calls are repeated and the order is trimmed.
+/// Options for retries and for compaction.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Options {
-    /// The calls without an answer after which a submission gives up.
+    /// The number of calls without an answer after which a submission gives up.
     pub attempts: u32,
-    /// The races that a submission loses before it gives up.
+    /// The number of lost races for a revision after which a submission gives up.
     pub races: u32,
-    /// The longest pause before the first repetition; it doubles each time,
-    /// and a random part of it is taken.
+    /// The maximum delay before the first retry. It doubles with each retry, and
+    /// the actual delay is a random fraction of it.
     pub pause: Duration,
-    /// The entries that stay behind the snapshot.
-    pub keep: u64,
-    /// The entries after which the snapshot is renewed and old entries are
-    /// trimmed.
-    pub fold_every: u64,
+    /// The number of entries before the snapshot that are retained.
+    pub retained: u64,
+    /// The number of entries between two compactions.
+    pub compaction_interval: u64,
 }
 
 impl Default for Options {
@@ -25,8 +24,8 @@
             attempts: 8,
             races: 64,
             pause: Duration::from_millis(100),
-            keep: 64,
-            fold_every: 64,
+            retained: 64,
+            compaction_interval: 64,
         }
     }
 }
--- a/crates/history/src/port.rs
+++ b/crates/history/src/port.rs
@@ -1,4 +1,4 @@
-//! Making calls on a store.
+//! The execution of calls on a store.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_objects::object::{Condition, Object, Path};
@@ -14,7 +14,7 @@
     Path::new("floor", "settings")
 }
 
-/// Makes one call on `store`, blocking until it is answered or times out.
+/// Performs one call on `store`, blocking until it is answered or times out.
 pub fn perform<S: Store>(store: &S, call: &Call) -> Reply {
     let reply = match call {
         Call::List { after, wait } => store.changes(KIND, *after, *wait).map(|changes| {
@@ -130,6 +130,6 @@
 
 fn malformed(object: &Object) -> Reply {
     Reply::Failed {
-        detail: format!("{} cannot be decoded", object.path),
+        detail: format!("object {} cannot be decoded", object.path),
     }
 }
--- a/crates/history/src/reader.rs
+++ b/crates/history/src/reader.rs
@@ -1,4 +1,4 @@
-//! Following the order on a store.
+//! Following the history on a store.
 
 use std::time::Duration;
 
@@ -8,26 +8,26 @@
 
 use crate::{Answer, Catchup, Fetched, Replica, Reply, Step, perform};
 
-/// Why a replica could not be brought up to date. It stays as it was, or has
-/// gone forward.
+/// The reason why a replica could not be brought up to date. The replica is
+/// unchanged, or at a later revision.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Error {
     /// The platform did not answer.
-    #[display("following the order of edits: {detail}")]
+    #[display("reading the edit history from the platform: {detail}")]
     Unavailable {
         /// What went wrong.
         detail: String,
     },
-    /// The platform's entries do not follow on what the replica holds.
-    #[display("following the order of edits: {answer}")]
+    /// The entries of the platform don't continue the history of the replica.
+    #[display("applying the edit history of the platform: {answer}")]
     Broken {
-        /// What the replica made of them.
+        /// The result of applying them to the replica.
         #[error(not(source))]
         answer: Answer,
     },
 }
 
-/// Follows the order on a store.
+/// Follows the history on a store.
 #[derive(Debug, Clone)]
 pub struct Reader<S> {
     store: S,
@@ -36,7 +36,7 @@
 }
 
 impl<S: Store> Reader<S> {
-    /// Creates a reader that starts from what `replica` holds.
+    /// Creates a reader that starts from the state of `replica`.
     #[must_use]
     pub const fn new(store: S, replica: Replica) -> Self {
         Self {
@@ -52,7 +52,7 @@
         &self.replica
     }
 
-    /// Returns the reader's replica, to offer it what peers sent.
+    /// Returns the reader's replica, for applying offers of peers.
     pub const fn replica_mut(&mut self) -> &mut Replica {
         &mut self.replica
     }
@@ -62,21 +62,23 @@
     ///
     /// # Errors
     ///
-    /// As [`Error`] says.
+    /// Returns an [`Error`] if a call got no answer or the entries can't be
+    /// applied.
     pub fn sync(&mut self) -> Result<Answer, Error> {
         self.follow(Version(0), Duration::ZERO)
     }
 
-    /// Waits up to `wait` for new entries and takes them in: one call, and a
+    /// Waits up to `wait` for new entries and applies them: one call, and a
     /// second one if there are any.
     ///
-    /// A watch that skipped an entry is noticed at the next one, and made
-    /// good by listing; a caller calls [`Reader::sync`] now and then for the
-    /// case that there is none.
+    /// If a watch skips an entry, the gap is detected with the next entry and
+    /// closed by listing. A caller should also call [`Reader::sync`]
+    /// periodically, since no further entry may follow.
     ///
     /// # Errors
     ///
-    /// As [`Error`] says.
+    /// Returns an [`Error`] if a call got no answer or the entries can't be
+    /// applied.
     pub fn watch(&mut self, wait: Duration) -> Result<Answer, Error> {
         match self.follow(self.version, wait) {
             Err(Error::Broken {
@@ -89,18 +91,18 @@
     fn follow(&mut self, after: Version, wait: Duration) -> Result<Answer, Error> {
         let catchup = Catchup::after(self.replica.revision(), after, wait);
         let fetched = fetch(&self.store, catchup)?;
-        let answer = take(&mut self.replica, &fetched)?;
+        let answer = apply(&mut self.replica, &fetched)?;
         self.version = fetched.version;
         Ok(answer)
     }
 }
 
-/// Carries out `catchup` on `store` and returns what it found, blocking until
-/// that is complete.
+/// Executes `catchup` on `store` and returns its result, blocking until it is
+/// complete.
 ///
 /// # Errors
 ///
-/// [`Error::Unavailable`] if a call got no answer.
+/// Returns [`Error::Unavailable`] if a call got no answer.
 pub fn fetch<S: Store>(store: &S, mut catchup: Catchup) -> Result<Fetched, Error> {
     let mut call = catchup.start();
     loop {
@@ -120,11 +122,11 @@
 /// Brings `replica` up to date from `store`.
 pub(crate) fn sync<S: Store>(store: &S, replica: &mut Replica) -> Result<Answer, Error> {
     let fetched = fetch(store, Catchup::new(replica.revision()))?;
-    take(replica, &fetched)
+    apply(replica, &fetched)
 }
 
-fn take(replica: &mut Replica, fetched: &Fetched) -> Result<Answer, Error> {
-    let answer = replica.take(fetched);
+fn apply(replica: &mut Replica, fetched: &Fetched) -> Result<Answer, Error> {
+    let answer = replica.apply(fetched);
     if answer.is_held() {
         return Ok(answer);
     }
--- a/crates/history/src/refusal.rs
+++ b/crates/history/src/refusal.rs
@@ -1,43 +1,43 @@
-//! Why an edit is not accepted.
+//! Reasons for refusing an edit.
 
 use cactusnotch_base::number::Revision;
 use derive_more::{Display, Error};
 
 use crate::{Summary, Touch};
 
-/// Why an edit is not accepted. But for [`Refusal::Expired`] the edit is
-/// certain not to be in the order.
+/// The reason for refusing an edit. Except for [`Refusal::Expired`], the edit is
+/// certainly not in the history.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Refusal {
-    /// Another edit, accepted since the author looked, touches the same.
+    /// Another edit, accepted after the base, changes the same parts.
     #[display("conflict with {other}, which also touches {}", join(shared))]
     Conflict {
         /// The other edit.
         other: Box<Summary>,
-        /// What both touch.
+        /// The parts changed by both edits.
         shared: Vec<Touch>,
     },
-    /// Another edit, accepted since the author looked, makes this one invalid.
+    /// Another edit, accepted after the base, makes this one invalid.
     #[display("conflict with {other}, after which: {source}")]
     Overtaken {
         /// The other edit.
         other: Box<Summary>,
-        /// The rule that would be broken.
+        /// The rule that would be violated.
         source: cactusnotch_settings::Error,
     },
-    /// The edit is not valid.
+    /// The edit is invalid.
     #[display("not valid: {source}")]
     Invalid {
-        /// The rule that would be broken.
+        /// The rule that would be violated.
         source: cactusnotch_settings::Error,
     },
-    /// The base is older than what is kept for finding conflicts. Whether the
-    /// edit was accepted long ago is not known any more.
+    /// The base is older than the summaries retained for detecting conflicts.
+    /// It can no longer be determined whether the edit was accepted earlier.
     #[display("the base {base} is older than {oldest}, the oldest that can be compared with")]
     Expired {
         /// The base of the edit.
         base: Revision,
-        /// The oldest base that can be compared with.
+        /// The oldest base for which conflicts can be detected.
         oldest: Revision,
     },
     /// The base does not exist.
@@ -51,11 +51,11 @@
     /// The edit, or the tree with it, is too large to be stored.
     #[display("too large: {what} takes {bytes} bytes of at most {limit}")]
     TooLarge {
-        /// What is too large.
+        /// The oversized part.
         what: &'static str,
-        /// Its size.
+        /// The size in bytes.
         bytes: usize,
-        /// The greatest size.
+        /// The maximum size.
         limit: usize,
     },
 }
--- a/crates/history/src/replica.rs
+++ b/crates/history/src/replica.rs
@@ -1,15 +1,15 @@
-//! The state of the order that every process keeps.
+//! The state of the history in a process.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_settings::{Edit, Tree, apply, replay};
 
 use crate::{Answer, Digest, Entry, Fetched, Offer, Refusal, Snapshot, Summary, Validation};
 
-/// The entries that are kept for peers at least, once there are that many.
+/// The minimum number of entries retained for peers, once that many exist.
 const TAIL: usize = 128;
 
-/// The state of the order in one process. It only goes forward, whatever is
-/// offered to it by whom.
+/// The state of the history in a process. Its revision never decreases,
+/// regardless of what is offered to it.
 #[derive(Debug, Clone)]
 pub struct Replica {
     head: Snapshot,
@@ -19,7 +19,7 @@
 }
 
 impl Replica {
-    /// Creates the replica of a process that knows nothing yet.
+    /// Creates an empty replica.
     #[must_use]
     pub fn new() -> Self {
         let head = Snapshot::genesis();
@@ -54,14 +54,15 @@
         &self.head
     }
 
-    /// Returns the entries that are kept, in order.
+    /// Returns the retained entries, in order.
     #[must_use]
     pub fn entries(&self) -> &[Entry] {
         &self.tail
     }
 
-    /// Returns what a peer at `revision` lacks: the entries after it, or the
-    /// snapshot if they are not all kept; none if the peer lacks nothing.
+    /// Returns what a peer at `revision` is missing: the entries after it, or the
+    /// snapshot if some of them are no longer retained, or `None` if nothing is
+    /// missing.
     #[must_use]
     pub fn after(&self, revision: Revision) -> Option<Offer> {
         if revision >= self.revision() {
@@ -75,7 +76,7 @@
         Some(Offer::Snapshot(Box::new(self.head.clone())))
     }
 
-    /// Takes in what is new in `offer`.
+    /// Applies the new part of `offer`.
     pub fn offer(&mut self, offer: &Offer) -> Answer {
         match offer {
             Offer::Entries(entries) => self.offer_entries(entries),
@@ -83,8 +84,8 @@
         }
     }
 
-    /// Takes in what is new of what the platform holds.
-    pub fn take(&mut self, fetched: &Fetched) -> Answer {
+    /// Applies the new part of what was fetched from the platform.
+    pub fn apply(&mut self, fetched: &Fetched) -> Answer {
         let before = self.revision();
         if let Some(snapshot) = &fetched.snapshot {
             let answer = self.offer_snapshot(&snapshot.value);
@@ -98,10 +99,10 @@
                 return answer;
             }
         }
-        self.since(before)
+        self.answer_since(before)
     }
 
-    /// Takes in the entries that are new, in order.
+    /// Applies the new entries, in order.
     pub fn offer_entries(&mut self, entries: &[Entry]) -> Answer {
         let before = self.revision();
         for entry in entries {
@@ -110,10 +111,10 @@
                 return answer;
             }
         }
-        self.since(before)
+        self.answer_since(before)
     }
 
-    /// Takes in the snapshot if it is newer.
+    /// Applies the snapshot if it is newer.
     pub fn offer_snapshot(&mut self, snapshot: &Snapshot) -> Answer {
         let at = snapshot.revision;
         if !snapshot.is_consistent() {
@@ -134,14 +135,15 @@
         Answer::Applied { to: at }
     }
 
-    /// Judges whether `edit` can follow, and names the edit in its way.
+    /// Checks whether `edit` can be the next entry.
     ///
     /// # Errors
     ///
-    /// Why the edit is refused.
+    /// Returns the reason for refusing the edit, with the earlier edit that made
+    /// it invalid, if any.
     pub fn validate(&self, edit: &Edit) -> Result<Validation, Refusal> {
         self.head.validate(edit).map_err(|refusal| match refusal {
-            Refusal::Invalid { source } => match self.culprit(edit) {
+            Refusal::Invalid { source } => match self.invalidating_edit(edit) {
                 Some(other) => Refusal::Overtaken {
                     other: Box::new(other),
                     source,
@@ -152,7 +154,7 @@
         })
     }
 
-    fn since(&self, before: Revision) -> Answer {
+    fn answer_since(&self, before: Revision) -> Answer {
         if self.revision() == before {
             return Answer::Stale;
         }
@@ -178,7 +180,7 @@
         match self.head.follow(entry) {
             Ok(head) => {
                 self.head = head;
-                self.keep(entry);
+                self.retain(entry);
                 Answer::Applied { to: next }
             }
             Err(refusal) => Answer::Invalid { at: next, refusal },
@@ -192,9 +194,9 @@
         }
     }
 
-    /// Keeps the entry for peers, and lets half of the entries go when there
-    /// are twice as many as needed.
-    fn keep(&mut self, entry: &Entry) {
+    /// Retains the entry for peers, and drops half of the entries when there are
+    /// twice as many as needed.
+    fn retain(&mut self, entry: &Entry) {
         self.tail.push(entry.clone());
         if self.tail.len() < 2 * TAIL {
             return;
@@ -207,7 +209,7 @@
     }
 
     /// Returns the first edit after the base of `edit` that made it invalid.
-    fn culprit(&self, edit: &Edit) -> Option<Summary> {
+    fn invalidating_edit(&self, edit: &Edit) -> Option<Summary> {
         let mut tree = self.anchor.clone();
         let mut was_valid = false;
         for entry in &self.tail {
--- a/crates/history/src/snapshot.rs
+++ b/crates/history/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state after a revision.
+//! The state of the settings after a revision.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_derive::message;
@@ -8,21 +8,21 @@
 
 use crate::{Digest, Entry, Refusal, Summary, Touch};
 
-/// The most summaries that are kept.
+/// The maximum number of retained summaries.
 const RECENT_LIMIT: usize = 1_024;
-/// The most bytes that the kept summaries take.
+/// The maximum size of the retained summaries in bytes.
 const RECENT_BYTES: usize = 200_000;
-/// The most bytes of an edit's touched parts.
+/// The maximum size of the list of parts changed by an edit, in bytes.
 const TOUCHES_BYTES: usize = 100_000;
-/// The most bytes of an edit.
+/// The maximum size of an edit in bytes.
 const EDIT_BYTES: usize = 800_000;
-/// The most bytes of a tree. With the summaries it stays under the platform's
-/// limit of a megabyte a value.
+/// The maximum size of a tree in bytes. Together with the summaries it stays
+/// below the platform's limit of one megabyte per value.
 const TREE_BYTES: usize = 700_000;
-/// The most bytes of an author and a reason.
+/// The maximum size of an author or a reason, in bytes.
 const LINE_BYTES: usize = 1_024;
 
-/// The state after a revision: the tree, and summaries of the last edits.
+/// The state after a revision: the tree, and summaries of the latest edits.
 #[message]
 #[derive(Eq)]
 #[serde(deny_unknown_fields)]
@@ -33,14 +33,14 @@
     pub digest: Digest,
     /// The tree.
     pub tree: Tree,
-    /// Summaries of the last edits in order.
+    /// Summaries of the latest edits, in order.
     pub recent: Vec<Summary>,
 }
 
-/// What becomes of an edit that is not refused.
+/// The result of validating an edit that is not refused.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Validation {
-    /// The edit is in the order already.
+    /// The edit is already in the history.
     Accepted(Revision),
     /// The edit can be the next entry.
     Next(Box<Entry>),
@@ -58,18 +58,18 @@
         }
     }
 
-    /// Returns the path of the object that holds the snapshot.
+    /// Returns the path of the object that stores the snapshot.
     #[must_use]
     pub fn path() -> Path {
         Path::new("snapshot", "settings")
     }
 
-    /// Judges whether `edit` can follow. The result depends on nothing but
-    /// the snapshot and the edit, so that all processes agree on it.
+    /// Checks whether `edit` can be the next entry. The result depends only on
+    /// the snapshot and the edit, so all processes agree on it.
     ///
     /// # Errors
     ///
-    /// Why the edit is refused.
+    /// Returns the reason for refusing the edit.
     pub fn validate(&self, edit: &Edit) -> Result<Validation, Refusal> {
         if let Some(summary) = self.accepted(&edit.id) {
             return Ok(Validation::Accepted(summary.revision));
@@ -78,12 +78,12 @@
         Ok(Validation::Next(Box::new(entry)))
     }
 
-    /// Returns the state after `entry`, which has to be a valid successor.
+    /// Returns the state after `entry`. The caller must check the revision and
+    /// the preceding digest of the entry.
     ///
     /// # Errors
     ///
-    /// Why the entry's edit is refused. Its number and chaining are the
-    /// caller's to check.
+    /// Returns the reason for refusing the edit of the entry.
     pub(crate) fn follow(&self, entry: &Entry) -> Result<Self, Refusal> {
         let (_, tree) = self.next(&entry.edit)?;
         let summary = Summary::new(entry);
@@ -99,20 +99,20 @@
         })
     }
 
-    /// Returns the summary of the edit with identity `id`, if it is kept.
+    /// Returns the summary of the edit with identity `id`, if it is retained.
     #[must_use]
     pub fn accepted(&self, id: &str) -> Option<&Summary> {
         self.recent.iter().find(|summary| summary.edit == id)
     }
 
-    /// Returns the summary of `revision`, if it is kept.
+    /// Returns the summary of `revision`, if it is retained.
     #[must_use]
     pub fn summary(&self, revision: Revision) -> Option<&Summary> {
         let at = self.recent.binary_search_by_key(&revision, |s| s.revision);
         at.ok().map(|at| &self.recent[at])
     }
 
-    /// Returns the oldest base that edits can be compared with.
+    /// Returns the oldest base for which conflicts can be detected.
     #[must_use]
     pub fn oldest_base(&self) -> Revision {
         match self.recent.first() {
@@ -121,7 +121,8 @@
         }
     }
 
-    /// Tells whether the parts of a snapshot from elsewhere fit together.
+    /// Returns whether a received snapshot is consistent: its summaries have
+    /// consecutive revisions and end with its own digest.
     #[must_use]
     pub fn is_consistent(&self) -> bool {
         let numbers = self.recent.iter().rev().map(|summary| summary.revision.0);
@@ -163,7 +164,7 @@
     fn check_conflicts(&self, base: Revision, touches: &[Touch]) -> Result<(), Refusal> {
         let newer = self.recent.iter().rev().take_while(|s| s.revision > base);
         for other in newer {
-            let shared = other.clashes(touches);
+            let shared = other.conflicts(touches);
             if !shared.is_empty() {
                 return Err(Refusal::Conflict {
                     other: Box::new(other.clone()),
--- a/crates/history/src/submission.rs
+++ b/crates/history/src/submission.rs
@@ -1,4 +1,4 @@
-//! Bringing an edit into the order.
+//! The submission of an edit to the history.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_settings::Edit;
@@ -7,20 +7,20 @@
     Answer, Call, Catchup, Entry, Options, Replica, Reply, Snapshot, Step, Validation, Verdict,
 };
 
-/// Brings an edit into the order, or finds out that it cannot be.
+/// Adds an edit to the history, or determines that it can't be added.
 ///
-/// The edit is judged on the replica and written under the next number if
-/// that is free. A write counts only once the floor, read after it, is below
-/// its number: otherwise the number may have been used and trimmed before. A
-/// write without an answer is settled by reading back. An edit is refused
-/// only on a replica that was brought up to date since the submission began.
+/// The edit is validated on the replica and written under the next number if
+/// that is free. The write counts only if the floor, read after it, is below
+/// its number: otherwise the number may have been used and deleted before. If
+/// a write has no answer, the entry is read back. An edit is refused only if
+/// the replica was brought up to date after the submission began.
 #[derive(Debug, Clone)]
 pub struct Submission {
     edit: Edit,
     state: State,
-    /// Whether the replica has been brought up to date since the beginning.
-    is_fresh: bool,
-    /// The number under which a write without an answer may still appear.
+    /// Whether the replica was brought up to date since the submission began.
+    is_synced: bool,
+    /// The number under which an unanswered write may still take effect.
     pending: Option<Revision>,
     attempts: u32,
     races: u32,
@@ -38,25 +38,25 @@
 }
 
 impl Submission {
-    /// Creates the work of submitting `edit`.
+    /// Creates a submission of `edit`.
     #[must_use]
     pub fn new(edit: Edit, options: &Options) -> Self {
         Self {
             edit,
             state: State::Idle,
-            is_fresh: false,
+            is_synced: false,
             pending: None,
             attempts: options.attempts,
             races: options.races,
         }
     }
 
-    /// Begins, with the replica as it stands.
+    /// Starts the submission with the current state of the replica.
     pub fn start(&mut self, replica: &Replica) -> Step<Verdict> {
         self.validate(replica)
     }
 
-    /// Takes in the reply to the last call.
+    /// Handles the reply to the last call.
     pub fn step(&mut self, replica: &mut Replica, reply: Reply) -> Step<Verdict> {
         if let Reply::Lost { detail } | Reply::Failed { detail } = &reply {
             return self.unanswered(replica, &reply, detail.clone());
@@ -68,7 +68,7 @@
                     Step::Call(call)
                 }
                 Step::Done(fetched) => {
-                    let answer = replica.take(&fetched);
+                    let answer = replica.apply(&fetched);
                     self.caught_up(replica, &answer)
                 }
             },
@@ -87,7 +87,7 @@
                 self.state = State::Creating(entry.clone());
                 Step::Call(Call::Create(entry))
             }
-            Err(refusal) if self.is_fresh => Step::Done(Verdict::Refused(refusal)),
+            Err(refusal) if self.is_synced => Step::Done(Verdict::Refused(refusal)),
             Err(_) => self.catch_up(replica),
         }
     }
@@ -103,9 +103,9 @@
         if !answer.is_held() {
             return Step::Done(self.give_up(answer.to_string()));
         }
-        self.is_fresh = true;
-        // A number that the order has reached is free no more: whatever is
-        // still on its way to it comes too late.
+        self.is_synced = true;
+        // A number up to the newest revision is in use, so a delayed write to it
+        // can no longer take effect.
         self.pending = self.pending.filter(|&slot| slot > replica.revision());
         self.validate(replica)
     }
@@ -114,7 +114,7 @@
         match reply {
             Reply::Done => self.confirm(entry),
             Reply::Taken(Some(other)) if other.edit.id == self.edit.id => self.confirm(other),
-            Reply::Taken(Some(_)) => self.outrun(replica, entry.revision),
+            Reply::Taken(Some(_)) => self.lost_race(replica, entry.revision),
             _ => {
                 self.pending = None;
                 let slot = Entry::path(entry.revision);
@@ -126,16 +126,18 @@
     fn read_back(&mut self, replica: &Replica, slot: Revision, reply: Reply) -> Step<Verdict> {
         match reply {
             Reply::Entry(Some(found)) if found.edit.id == self.edit.id => self.confirm(found),
-            Reply::Entry(Some(_)) => self.outrun(replica, slot),
+            Reply::Entry(Some(_)) => self.lost_race(replica, slot),
             _ => self.validate(replica),
         }
     }
 
-    /// Goes on after another edit took the number.
-    fn outrun(&mut self, replica: &Replica, slot: Revision) -> Step<Verdict> {
+    /// Retries after another edit was written under the number.
+    fn lost_race(&mut self, replica: &Replica, slot: Revision) -> Step<Verdict> {
         self.pending = None;
         if self.races == 0 {
-            return Step::Done(self.give_up(format!("{slot} and those before went to others")));
+            return Step::Done(self.give_up(format!(
+                "{slot} and all earlier tries were taken by other edits"
+            )));
         }
         self.races -= 1;
         self.catch_up(replica)
@@ -171,19 +173,21 @@
         }
     }
 
-    /// Finds out from the snapshot whether the entry, which is at or below
-    /// the floor, came into the order before it was folded.
+    /// Determines from the snapshot whether the entry, which is at or below the
+    /// floor, became part of the history before compaction.
     fn settled(&mut self, replica: &mut Replica, entry: &Entry, reply: Reply) -> Step<Verdict> {
         let Reply::Snapshot {
             snapshot: Some(stored),
             ..
         } = reply
         else {
-            return Step::Done(self.give_up("there is a floor and no snapshot".to_owned()));
+            return Step::Done(self.give_up("the platform has a floor but no snapshot".to_owned()));
         };
         let snapshot = stored.value;
         if !covers(&snapshot, entry.revision) {
-            return Step::Done(self.give_up("the order has gone on too far".to_owned()));
+            return Step::Done(
+                self.give_up("the snapshot no longer covers this revision".to_owned()),
+            );
         }
         let answer = replica.offer_snapshot(&snapshot);
         if !answer.is_held() {
@@ -220,7 +224,7 @@
             State::ReadingBack(entry) => Step::Call(Call::ReadEntry(entry.revision)),
             State::Confirming(_) => Step::Call(Call::ReadFloor),
             State::Settling(_) => Step::Call(Call::ReadSnapshot),
-            // What is left behind the floor is removed at the next fold.
+            // The next compaction removes what remains below the floor.
             State::Idle | State::Removing => self.validate(replica),
             State::CatchingUp(_) => self.catch_up(replica),
         }
--- a/crates/history/src/summary.rs
+++ b/crates/history/src/summary.rs
@@ -1,4 +1,4 @@
-//! What is kept of an accepted edit for later conflicts.
+//! Summaries of accepted edits, retained for detecting conflicts.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_derive::message;
@@ -6,20 +6,20 @@
 
 use crate::{Digest, Entry, Touch};
 
-/// What is kept of an accepted edit after its entry has been trimmed.
+/// The summary of an accepted edit, retained after its entry was deleted.
 #[message]
 #[derive(Eq, Display)]
 #[display("revision {revision} (edit {edit} by {author})")]
 pub struct Summary {
-    /// The place in the order.
+    /// The position in the history.
     pub revision: Revision,
     /// The digest of the entry.
     pub digest: Digest,
     /// The identity of the edit.
     pub edit: String,
-    /// Who edited.
+    /// The author of the edit.
     pub author: String,
-    /// What the edit touched.
+    /// The parts of the tree that the edit changed.
     pub touches: Vec<Touch>,
 }
 
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Returns the parts of `touches` that clash with this edit.
+    /// Returns the parts of `touches` that conflict with this edit.
     #[must_use]
-    pub fn clashes(&self, touches: &[Touch]) -> Vec<Touch> {
-        let is_shared = |touch: &&Touch| self.touches.iter().any(|own| own.clashes(touch));
+    pub fn conflicts(&self, touches: &[Touch]) -> Vec<Touch> {
+        let is_shared = |touch: &&Touch| self.touches.iter().any(|own| own.conflicts_with(touch));
         touches.iter().filter(is_shared).cloned().collect()
     }
 }
--- a/crates/history/src/touch.rs
+++ b/crates/history/src/touch.rs
@@ -1,4 +1,4 @@
-//! What an edit touches, and when two edits exclude each other.
+//! The parts of the tree changed by an edit, and conflicts between edits.
 
 use cactusnotch_derive::identifier;
 use cactusnotch_settings::{Edit, Id, Key, Operation};
@@ -9,7 +9,7 @@
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Aspect {
-    /// Whether the node exists; it touches all other parts.
+    /// Whether the node exists, which conflicts with all other parts.
     #[display("existence")]
     Existence,
     /// The node's parent.
@@ -35,8 +35,9 @@
 }
 
 impl Touch {
-    /// Returns what `edit` touches, sorted. Of a node that the edit creates
-    /// or deletes only the existence is listed, as it stands for all parts.
+    /// Returns the parts that `edit` changes, sorted. For a node that the edit
+    /// creates or deletes, only the existence is listed, since it covers all
+    /// parts.
     #[must_use]
     pub fn all(edit: &Edit) -> Vec<Self> {
         let mut touches: Vec<Self> = edit.operations.iter().map(Self::of).collect();
@@ -55,9 +56,9 @@
         kept
     }
 
-    /// Tells whether two edits that touch these parts exclude each other.
+    /// Returns whether two edits that change these parts conflict.
     #[must_use]
-    pub fn clashes(&self, other: &Self) -> bool {
+    pub fn conflicts_with(&self, other: &Self) -> bool {
         let is_whole = |touch: &Self| touch.aspect == Aspect::Existence;
         self.node == other.node
             && (self.aspect == other.aspect || is_whole(self) || is_whole(other))
--- a/crates/history/src/verdict.rs
+++ b/crates/history/src/verdict.rs
@@ -1,39 +1,38 @@
-//! What became of a submitted edit.
+//! The result of submitting an edit.
 
 use cactusnotch_base::number::Revision;
 use derive_more::Display;
 
 use crate::Refusal;
 
-/// What became of a submitted edit.
+/// The result of submitting an edit.
 #[derive(Debug, Clone, PartialEq, Eq, Display)]
 pub enum Verdict {
-    /// The edit is in the order, once.
+    /// The edit is in the history, exactly once.
     #[display("accepted as revision {revision}")]
     Accepted {
-        /// Its place.
+        /// The position of the edit.
         revision: Revision,
     },
-    /// The edit is not accepted: it is not in the order, and no write of it
-    /// that is still on its way can come into it, by whomever it was made.
-    /// Only a submission that runs at the same time or begins later can
-    /// still bring in an edit that was not valid when it was judged.
+    /// The edit is not in the history, and no delayed write of it by any process
+    /// can still take effect. Only a concurrent or later submission can still
+    /// add the edit, if it was invalid when it was validated.
     #[display("refused: {_0}")]
     Refused(Refusal),
-    /// The order could not be reached. This submission brought nothing into
-    /// it; of earlier ones of the same edit it says nothing.
+    /// The platform could not be reached. This submission added nothing to the
+    /// history; earlier submissions of the same edit may have.
     #[display("not accepted: {detail}")]
     Unavailable {
-        /// What went wrong last.
+        /// The last error.
         detail: String,
     },
-    /// The edit may be in the order or still come into it. Submitting it
-    /// again, with the same identity, settles this.
+    /// The edit may be in the history or may still be added. Submitting it again
+    /// with the same identity resolves this.
     #[display("unknown, perhaps revision {revision}: {detail}")]
     Unknown {
-        /// The place that it was written to.
+        /// The revision under which it was written.
         revision: Revision,
-        /// What went wrong last.
+        /// The last error.
         detail: String,
     },
 }
--- a/crates/history/src/writer.rs
+++ b/crates/history/src/writer.rs
@@ -1,4 +1,4 @@
-//! Submitting edits to a store.
+//! The submission of edits to a store.
 
 use std::time::Duration;
 
@@ -7,12 +7,14 @@
 use rand::Rng;
 
 use crate::reader;
-use crate::{Answer, Call, Fold, Options, Replica, Reply, Step, Submission, Verdict, perform};
+use crate::{
+    Answer, Call, Compaction, Options, Replica, Reply, Step, Submission, Verdict, perform,
+};
 
-/// The most doublings of the pause between repetitions.
+/// The maximum number of doublings of the delay between retries.
 const DOUBLINGS: u32 = 6;
 
-/// Submits edits to a store, and folds the order now and then.
+/// Submits edits to a store, and compacts the history at intervals.
 #[derive(Debug, Clone)]
 pub struct Writer<S> {
     store: S,
@@ -21,7 +23,7 @@
 }
 
 impl<S: Store> Writer<S> {
-    /// Creates a writer that starts from what `replica` holds.
+    /// Creates a writer that starts from the state of `replica`.
     #[must_use]
     pub const fn new(store: S, replica: Replica, options: Options) -> Self {
         Self {
@@ -37,7 +39,7 @@
         &self.replica
     }
 
-    /// Returns the writer's replica, to offer it what peers sent.
+    /// Returns the writer's replica, for applying offers of peers.
     pub const fn replica_mut(&mut self) -> &mut Replica {
         &mut self.replica
     }
@@ -47,13 +49,14 @@
     ///
     /// # Errors
     ///
-    /// As [`reader::Error`] says.
+    /// Returns a [`reader::Error`] if a call got no answer or the entries can't
+    /// be applied.
     pub fn sync(&mut self) -> Result<Answer, reader::Error> {
         reader::sync(&self.store, &mut self.replica)
     }
 
-    /// Submits `edit`, blocking until it is known what became of it or the
-    /// attempts are used up. Submitting an edit again is harmless.
+    /// Submits `edit`, blocking until its result is known or the attempts are
+    /// exhausted. Submitting an edit again is harmless.
     pub fn submit(&mut self, edit: &Edit) -> Verdict {
         let mut submission = Submission::new(edit.clone(), &self.options);
         let mut step = submission.start(&self.replica);
@@ -62,7 +65,7 @@
             let call = match step {
                 Step::Call(call) => call,
                 Step::Done(verdict) => {
-                    self.fold_after(&verdict);
+                    self.compact_after(&verdict);
                     return verdict;
                 }
             };
@@ -75,26 +78,26 @@
         }
     }
 
-    /// Renews the snapshot and trims the order if enough entries have come
-    /// together; tells whether that is done.
-    pub fn fold(&self) -> bool {
-        let mut fold = Fold::new(&self.replica, &self.options);
-        let mut call: Call = fold.start();
+    /// Renews the snapshot and deletes old entries if enough entries have
+    /// accumulated. Returns false if a step failed.
+    pub fn compact(&self) -> bool {
+        let mut compaction = Compaction::new(&self.replica, &self.options);
+        let mut call: Call = compaction.start();
         loop {
-            match fold.step(perform(&self.store, &call)) {
+            match compaction.step(perform(&self.store, &call)) {
                 Step::Call(next) => call = next,
                 Step::Done(is_complete) => return is_complete,
             }
         }
     }
 
-    fn fold_after(&self, verdict: &Verdict) {
+    fn compact_after(&self, verdict: &Verdict) {
         let Verdict::Accepted { revision } = verdict else {
             return;
         };
-        // The floor is looked at once in a while, not after each edit.
-        if revision.0.is_multiple_of(self.options.fold_every) {
-            self.fold();
+        // The floor is checked at intervals, not after each edit.
+        if revision.0.is_multiple_of(self.options.compaction_interval) {
+            self.compact();
         }
     }
 
--- a/crates/history/tests/exploration.rs
+++ b/crates/history/tests/exploration.rs
@@ -1,5 +1,5 @@
-//! Every interleaving of two operators whose edits exclude each other, call by
-//! call, with up to two faults at every place.
+//! All interleavings of two operators with conflicting edits, call by call, with
+//! up to two faults at any calls.
 
 mod support;
 
@@ -14,8 +14,8 @@
     attempts: 2,
     races: 2,
     pause: std::time::Duration::ZERO,
-    keep: 1,
-    fold_every: 1,
+    retained: 1,
+    compaction_interval: 1,
 };
 
 #[derive(Clone)]
@@ -26,7 +26,8 @@
     next: Step<Verdict>,
 }
 
-/// A state of the exploration; the store is shared until it is forked.
+/// A state of the exploration. Clones of the store share its content until it
+/// is forked.
 struct World {
     store: Memory,
     operators: [Operator; 2],
@@ -42,7 +43,8 @@
         }
     }
 
-    /// Explores all ways on from here and returns how many ended.
+    /// Explores all continuations of this state and returns the number of final
+    /// states.
     fn explore(&self) -> usize {
         let mut ends = 0;
         for at in 0..self.operators.len() {
@@ -81,7 +83,7 @@
 
     fn check(&self) {
         let mut reader = Reader::new(self.store.clone(), Replica::new());
-        reader.sync().expect("without faults a reader gets through");
+        reader.sync().expect("a reader succeeds without faults");
         let mut accepted = 0;
         for operator in &self.operators {
             let found = reader.replica().snapshot().accepted(&operator.edit.id);
@@ -95,14 +97,11 @@
                 }
                 Verdict::Unknown { .. } => {}
                 Verdict::Refused(_) | Verdict::Unavailable { .. } => {
-                    assert!(found.is_none(), "{verdict}, and it is in the order");
+                    assert!(found.is_none(), "{verdict}, but the edit is in the history");
                 }
             }
         }
-        assert!(
-            accepted <= 1,
-            "edits that exclude each other are both accepted"
-        );
+        assert!(accepted <= 1, "two conflicting edits are both accepted");
     }
 }
 
--- a/crates/history/tests/interleaving.rs
+++ b/crates/history/tests/interleaving.rs
@@ -1,12 +1,13 @@
-//! Random interleavings of operators, folds, readers and peers, call by call,
-//! with lost, late and refused calls, outages and restarts.
+//! Random interleavings of operators, compactions, readers and peers, call by
+//! call, with lost, late and refused calls, outages and restarts.
 
 mod support;
 
 use cactusnotch_base::Table;
 use cactusnotch_base::number::Revision;
 use cactusnotch_history::{
-    Call, Catchup, Digest, Fold, Options, Refusal, Replica, Step, Submission, Verdict, perform,
+    Call, Catchup, Compaction, Digest, Options, Refusal, Replica, Step, Submission, Verdict,
+    perform,
 };
 use cactusnotch_settings::{Edit, Id, Key, Kind, Tree};
 use proptest::prelude::*;
@@ -22,15 +23,15 @@
     attempts: 3,
     races: 3,
     pause: std::time::Duration::ZERO,
-    keep: 1,
-    fold_every: 1,
+    retained: 1,
+    compaction_interval: 1,
 };
 
-/// What a process is doing.
+/// The pending work of a process.
 enum Work {
     Idle,
     Submitting(Box<Submission>, Edit, Call),
-    Folding(Box<Fold>, Call),
+    Compacting(Box<Compaction>, Call),
     Reading(Catchup, Call),
 }
 
@@ -39,7 +40,7 @@
     work: Work,
 }
 
-/// What the outside has been told, and what replicas have shown.
+/// The verdicts returned to operators, and the revisions observed on replicas.
 #[derive(Default)]
 struct Record {
     order: Table<Revision, (Digest, String)>,
@@ -49,7 +50,7 @@
 }
 
 impl Record {
-    /// Notes a verdict; `is_alone` tells that no other submission of the same
+    /// Records a verdict. `is_alone` means that no other submission of the same
     /// edit is running.
     fn note(&mut self, edit: Edit, verdict: &Verdict, is_alone: bool) {
         let was_open = self.open.contains(&edit);
@@ -62,8 +63,8 @@
                 );
             }
             Verdict::Refused(Refusal::Expired { .. }) => {}
-            // Refused for good, even if an earlier submission died half-way
-            // and its write is still under way.
+            // The refusal is final, even if an earlier submission was aborted
+            // and its write is still in transit.
             Verdict::Refused(_) if is_alone => self.refuse(&edit),
             Verdict::Unavailable { .. } if !was_open => self.refuse(&edit),
             Verdict::Refused(_) | Verdict::Unavailable { .. } => {}
@@ -88,7 +89,7 @@
             let seen = self
                 .order
                 .get_or_insert_with(summary.revision, || row.clone());
-            assert_eq!(*seen, row, "two orders at {}", summary.revision);
+            assert_eq!(*seen, row, "the histories differ at {}", summary.revision);
         }
         assert_valid(replica.tree());
     }
@@ -98,18 +99,19 @@
         edits.sort();
         let count = edits.len();
         edits.dedup();
-        assert_eq!(edits.len(), count, "an edit is in the order twice");
+        assert_eq!(edits.len(), count, "an edit is in the history twice");
         for (edit, revision) in self.accepted.iter() {
             let found = self.order.get(revision).map(|(_, edit)| edit);
             assert_eq!(found, Some(edit), "an acknowledged edit is missing");
         }
         for edit in &self.refused {
-            assert!(!edits.contains(&edit), "a refused edit is in the order");
+            assert!(!edits.contains(&edit), "a refused edit is in the history");
         }
     }
 }
 
-/// Checks the joint rules in another way than the crate itself does.
+/// Checks the rules that concern several nodes, independently of the
+/// implementation in the crate.
 fn assert_valid(tree: &Tree) {
     let floor_of = |id: &Id| {
         let floor = tree.effective(id, Key::ConcurrencyFloor);
@@ -137,7 +139,7 @@
         let floors: u64 = below.map(|organisation| floor_of(organisation)).sum();
         let cap = tree
             .effective(id, Key::ConcurrencyLimit)
-            .expect("it means something");
+            .expect("the limit applies to the node");
         assert!(
             cap.value.as_integer() >= Some(floors),
             "floors of {floors} at {id}"
@@ -195,7 +197,7 @@
         }
     }
 
-    /// Replaces a process; what it was submitting may be submitted again.
+    /// Restarts a process. The edit that it was submitting may be submitted again.
     fn restart(&mut self) {
         let at = self.rng.random_range(0..PROCESSES);
         let work = std::mem::replace(&mut self.processes[at].work, Work::Idle);
@@ -238,14 +240,14 @@
                     }
                 }
             }
-            Work::Folding(mut fold, pending) => match fold.step(call(&pending)) {
-                Step::Call(next) => Work::Folding(fold, next),
+            Work::Compacting(mut compaction, pending) => match compaction.step(call(&pending)) {
+                Step::Call(next) => Work::Compacting(compaction, next),
                 Step::Done(_) => Work::Idle,
             },
             Work::Reading(mut catchup, pending) => match catchup.step(call(&pending)) {
                 Step::Call(next) => Work::Reading(catchup, next),
                 Step::Done(fetched) => {
-                    let answer = replica.take(&fetched);
+                    let answer = replica.apply(&fetched);
                     assert!(answer.is_held(), "a reader's answer: {answer}");
                     Work::Idle
                 }
@@ -264,9 +266,9 @@
                 Work::Reading(catchup, call)
             }
             1 => {
-                let fold = Fold::new(&replica, &OPTIONS);
-                let call = fold.start();
-                Work::Folding(Box::new(fold), call)
+                let compaction = Compaction::new(&replica, &OPTIONS);
+                let call = compaction.start();
+                Work::Compacting(Box::new(compaction), call)
             }
             _ => self.submit(&replica),
         }
@@ -276,7 +278,7 @@
         let is_again = !self.record.open.is_empty() && self.rng.random_bool(0.5);
         let edit = if is_again {
             let at = self.rng.random_range(0..self.record.open.len());
-            // It stays open: another process may submit it at the same time.
+            // The edit stays open: another process may submit it concurrently.
             self.record.open[at].clone()
         } else {
             let count = self.rng.random_range(1..=2);
@@ -301,13 +303,16 @@
 
     fn observe(&mut self, at: usize, before: Revision) {
         let replica = &self.processes[at].replica;
-        assert!(replica.revision() >= before, "a replica went back");
+        assert!(
+            replica.revision() >= before,
+            "the revision of a replica decreased"
+        );
         if replica.revision() > before {
             self.record.observe(replica);
         }
     }
 
-    /// Ends all faults, lets what is late arrive, and compares all replicas.
+    /// Ends all faults, delivers all late writes, and compares all replicas.
     fn settle(&mut self) {
         while self.store.late() > 0 {
             self.store.deliver(0);
@@ -317,7 +322,7 @@
             let store = self.store.clone();
             let replica = self.processes[at].replica.clone();
             let mut reader = cactusnotch_history::Reader::new(store, replica);
-            reader.sync().expect("without faults a reader gets through");
+            reader.sync().expect("a reader succeeds without faults");
             self.record.observe(reader.replica());
             let digest = reader.replica().digest().clone();
             assert_eq!(*head.get_or_insert_with(|| digest.clone()), digest);
--- a/crates/history/tests/support/mod.rs
+++ b/crates/history/tests/support/mod.rs
@@ -1,7 +1,7 @@
-//! A store in memory that loses and delays calls, and edits to submit to it.
+//! An in-memory store that loses and delays calls, and edits to submit to it.
 #![allow(
     dead_code,
-    reason = "each test file uses a part of what the files share"
+    reason = "each test file uses only some of the shared helpers"
 )]
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,18 +17,18 @@
 use rand::{Rng, SeedableRng};
 use serde_json::Value as Json;
 
-/// What happens to the next call.
+/// The fault of the next call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// It is answered.
+    /// The call is answered.
     None,
-    /// It does not arrive.
+    /// The call does not reach the store.
     Before,
-    /// It takes effect and the answer is lost.
+    /// The call takes effect, but the answer is lost.
     After,
-    /// It is given up by the caller and, if a write, arrives later.
+    /// The caller gives up the call, which arrives later if it is a write.
     Late,
-    /// It is refused without effect.
+    /// The call is refused without effect.
     Refused,
 }
 
@@ -40,7 +40,7 @@
     calls: u64,
 }
 
-/// A store in memory.
+/// An in-memory store.
 #[derive(Debug, Clone)]
 pub struct Memory {
     state: Arc<Mutex<State>>,
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Returns a store of its own with the same contents.
+    /// Returns an independent store with the same contents.
     pub fn fork(&self) -> Self {
         Self {
             state: Arc::new(Mutex::new(self.state().clone())),
@@ -71,7 +71,7 @@
         self.state().calls
     }
 
-    /// Lets a delayed write arrive.
+    /// Delivers a delayed write.
     pub fn deliver(&self, at: usize) {
         let mut state = self.state();
         if !state.late.is_empty() {
@@ -239,7 +239,7 @@
     Edit::new(author, "test", base, operations)
 }
 
-/// Returns the edit that lays out the tree which the tests change.
+/// Returns the edit that creates the tree changed by the tests.
 pub fn layout() -> Edit {
     let operations = vec![
         create("a", "root", Kind::Policy),
@@ -250,8 +250,8 @@
     edit("setup", Revision(0), operations)
 }
 
-/// Returns an operation that is often, and not always, possible after
-/// [`layout`]; two of them together may break a rule that neither breaks.
+/// Returns an operation that is often, but not always, valid after [`layout`].
+/// Two of them together may violate a rule that neither violates alone.
 pub fn random_operation(rng: &mut StdRng) -> Operation {
     let policy = ["a", "b", "c"][rng.random_range(0..3)];
     let other = ["a", "b", "root"][rng.random_range(0..3)];
--- a/crates/history/tests/writer.rs
+++ b/crates/history/tests/writer.rs
@@ -1,4 +1,4 @@
-//! Single writers and replicas: conflicts, lost replies, folding, forks.
+//! Single writers and replicas: conflicts, lost replies, compaction, forks.
 
 mod support;
 
@@ -13,8 +13,8 @@
 fn options() -> Options {
     Options {
         pause: Duration::ZERO,
-        keep: 2,
-        fold_every: 4,
+        retained: 2,
+        compaction_interval: 4,
         ..Options::default()
     }
 }
@@ -151,7 +151,8 @@
     assert_eq!(store.calls() - before, 3);
     assert_eq!(reader.replica().tree(), first.replica().tree());
 
-    // A writer whose next number was used and trimmed long ago finds it free.
+    // The next number of this writer was used and deleted earlier, so the number
+    // is free again.
     let elsewhere = edit("inaki", Revision(1), vec![set("o", Key::Priority, 8)]);
     assert_eq!(late.submit(&elsewhere), accepted(42));
     assert_eq!(
@@ -173,8 +174,8 @@
     for n in 2..=21 {
         assert_eq!(first.submit(&priority("maite", n - 1, n % 10)), accepted(n));
     }
-    // The paused writer's entry 2 appears, and the writer dies before it
-    // finds out that the number is behind the floor.
+    // Entry 2 of the paused writer is written late, and the writer stops before
+    // it detects that the number is below the floor.
     store.fail_next(Fault::Late);
     paused.submit(&edit(
         "inaki",
@@ -238,7 +239,7 @@
     let offer = other
         .replica()
         .after(Revision(0))
-        .expect("the peer lacks all");
+        .expect("the peer has no entries");
     assert!(matches!(replica.offer(&offer), Answer::Forked { .. }));
     let snapshot = other.replica().snapshot();
     assert!(matches!(
