--- a/crates/attempt/src/exchange.rs
+++ b/crates/attempt/src/exchange.rs
@@ -248,7 +248,7 @@
         match self.order.mode {
             Mode::Ticket(_) => self.refuse_unreachable(Reason::Unsent, commands),
             Mode::Private | Mode::Claim | Mode::Resume(_) => {
-                self.after_not_run(Reason::Unsent, budget, commands);
+                self.on_not_run(Reason::Unsent, budget, commands);
             }
         }
     }
--- a/crates/attempt/src/recovery.rs
+++ b/crates/attempt/src/recovery.rs
@@ -69,14 +69,14 @@
     }
 
     /// Handles an agent that does not report the state of the holder.
-    pub(crate) fn after_no_answer(
+    pub(crate) fn on_no_answer(
         &mut self,
         now: Instant,
         budget: &mut Budget,
         commands: &mut Vec<Command>,
     ) {
         if self.is_repeatable() {
-            return self.after_uncertain(Reason::NoAnswer, budget, commands);
+            return self.on_uncertain(Reason::NoAnswer, budget, commands);
         }
         match self.state {
             State::Dispatched { .. } => self.tombstone(now, commands),
@@ -86,7 +86,7 @@
     }
 
     /// Handles a holder that may have run but whose answer is unavailable.
-    pub(crate) fn after_uncertain(
+    pub(crate) fn on_uncertain(
         &mut self,
         reason: Reason,
         budget: &mut Budget,
@@ -101,7 +101,7 @@
     }
 
     /// Handles a holder that provably never starts.
-    pub(crate) fn after_not_run(
+    pub(crate) fn on_not_run(
         &mut self,
         reason: Reason,
         budget: &mut Budget,
@@ -147,7 +147,7 @@
             .as_ref()
             .is_some_and(|holder| holder.window.terms.endpoint == *endpoint);
         if is_affected && matches!(self.state, State::Dispatched { .. } | State::Streaming) {
-            self.after_no_answer(now, budget, commands);
+            self.on_no_answer(now, budget, commands);
         }
     }
 
@@ -158,11 +158,9 @@
                     self.claim(&holder, now, commands);
                 }
             }
-            State::Dispatched { until } if now >= until => {
-                self.after_no_answer(now, budget, commands)
-            }
+            State::Dispatched { until } if now >= until => self.on_no_answer(now, budget, commands),
             State::Tombstoning(timers) | State::Attached(timers) if now >= timers.until => {
-                self.after_uncertain(Reason::NoAnswer, budget, commands);
+                self.on_uncertain(Reason::NoAnswer, budget, commands);
             }
             State::Tombstoning(mut timers) if now >= timers.resend => {
                 timers.resend = now + self.options.resend;
--- a/crates/attempt/src/replies.rs
+++ b/crates/attempt/src/replies.rs
@@ -28,26 +28,22 @@
             Reply::Piece { sequence, data, .. } => self.piece(sequence, data, now, commands),
             Reply::End { total, .. } => self.end(total, now, commands),
             Reply::Broken { fault, .. } => {
-                self.after_uncertain(Reason::Broken(fault), budget, commands);
+                self.on_uncertain(Reason::Broken(fault), budget, commands);
             }
             Reply::Refused {
                 outcome, reason, ..
             } => self.refused(outcome, reason, budget, commands),
-            Reply::Tombstoned { target, .. } if self.is_queried(target) => {
-                self.after_not_run(Reason::GivenUp, budget, commands);
-            }
-            Reply::Started { target, .. } if self.is_tombstoning(target) => {
-                self.attach(now, commands)
-            }
-            Reply::Absent { target, .. } if self.is_queried(target) => {
-                self.tombstone(now, commands)
+            Reply::Tombstoned { target, .. } if self.queries(target) => {
+                self.on_not_run(Reason::GivenUp, budget, commands);
             }
+            Reply::Started { target, .. } if self.tombstones(target) => self.attach(now, commands),
+            Reply::Absent { target, .. } if self.queries(target) => self.tombstone(now, commands),
             Reply::Tombstoned { .. } | Reply::Started { .. } | Reply::Absent { .. } => {}
         }
     }
 
     /// Returns whether a query about `target` is pending.
-    fn is_queried(&self, target: Attempt) -> bool {
+    fn queries(&self, target: Attempt) -> bool {
         let open = matches!(self.state, State::Tombstoning(_) | State::Attached(_));
         open && self
             .holder
@@ -56,8 +52,8 @@
     }
 
     /// Returns whether the agent was asked to give up `target`.
-    fn is_tombstoning(&self, target: Attempt) -> bool {
-        matches!(self.state, State::Tombstoning(_)) && self.is_queried(target)
+    fn tombstones(&self, target: Attempt) -> bool {
+        matches!(self.state, State::Tombstoning(_)) && self.queries(target)
     }
 
     fn accepted(&mut self, runner: Attempt, commands: &mut Vec<Command>) {
@@ -114,8 +110,8 @@
     ) {
         let reason = Reason::Refused(reason);
         match outcome {
-            Outcome::Unknown => self.after_uncertain(reason, budget, commands),
-            Outcome::NotRun if self.is_holder() => self.after_not_run(reason, budget, commands),
+            Outcome::Unknown => self.on_uncertain(reason, budget, commands),
+            Outcome::NotRun if self.is_holder() => self.on_not_run(reason, budget, commands),
             Outcome::NotRun => self.refuse(Outcome::NotRun, reason, commands),
         }
     }
--- a/crates/attempt/tests/explore/world.rs
+++ b/crates/attempt/tests/explore/world.rs
@@ -161,9 +161,9 @@
     }
 
     /// Returns the terms of an agent, current or from the start of the model.
-    pub(crate) fn terms(&self, agent: usize, fresh: bool) -> Terms {
+    pub(crate) fn terms(&self, agent: usize, current: bool) -> Terms {
         let ledger = &self.agents[agent].ledger;
-        let (incarnation, age) = if fresh {
+        let (incarnation, age) = if current {
             (ledger.incarnation(), ledger.age(self.now))
         } else {
             (Incarnation(1), ledger::Age(0))
@@ -218,7 +218,7 @@
     pub fn act(&mut self, action: &Action) {
         match *action {
             Action::Resend => self.send_request(1),
-            Action::Route(entry, fresh) => self.route(entry, fresh),
+            Action::Route(entry, current) => self.route(entry, current),
             Action::Deliver(index) => {
                 let frame = self.frames.remove(index);
                 self.deliver(frame);
@@ -265,13 +265,13 @@
         self.frames.sort_by_cached_key(hash);
     }
 
-    pub(crate) fn route(&mut self, entry: usize, fresh: bool) {
+    pub(crate) fn route(&mut self, entry: usize, current: bool) {
         let route = self.entries[entry].routes.remove(0);
-        let terms = self.terms(pick(entry, &route), fresh);
+        let terms = self.terms(pick(entry, &route), current);
         let count = self.entries[entry].attempts.len();
         let attempt = Attempt(Uuid::from_u128((entry * 16 + count + 1) as u128));
         self.entries[entry].attempts.push(attempt);
-        let reported_at = if fresh { self.now } else { self.origin };
+        let reported_at = if current { self.now } else { self.origin };
         let event = Event::Routed {
             terms,
             reported_at,
--- a/crates/claim/examples/claims.rs
+++ b/crates/claim/examples/claims.rs
@@ -57,7 +57,7 @@
     // Kept until the end, so that no measurement reuses freed memory.
     let shards = [100_000, 200_000, 400_000].map(memory);
     black_box(&shards);
-    println!("\nplatform {CALL:?} a call, {TIME:?} simulated, keys live {LIFETIME:?}");
+    println!("\nplatform {CALL:?} a call, {TIME:?} simulated, key lifetime {LIFETIME:?}");
     println!(
         "rate/s  shards window  claims  puts/s deletes/s  calls/claim  p50 ms  p99 ms  B/claim  us/claim"
     );
--- a/crates/claim/tests/shard.rs
+++ b/crates/claim/tests/shard.rs
@@ -207,6 +207,9 @@
     let answers = platform.settle(&mut paused, Event::Put(written), &[]);
     assert_eq!(answers, [Answer::Unavailable]);
     let expected = Answer::Held(claim(4, "key").holder);
-    let mut fresh = shard(3);
-    assert_eq!(platform.ask(&mut fresh, claim(5, "key"), &[]), [expected]);
+    let mut late_reader = shard(3);
+    assert_eq!(
+        platform.ask(&mut late_reader, claim(5, "key"), &[]),
+        [expected]
+    );
 }
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -141,9 +141,9 @@
             None => self.choose(avoid),
         };
         match terms {
-            Some((terms, heard)) => Event::Routed {
+            Some((terms, reported_at)) => Event::Routed {
                 terms,
-                reported_at: heard,
+                reported_at,
                 attempt: Attempt(Uuid::new_v4()),
             },
             None => Event::Unroutable,
--- a/crates/ledger/src/delivery.rs
+++ b/crates/ledger/src/delivery.rs
@@ -41,7 +41,7 @@
                 data: data.clone(),
             },
         }));
-        if let Some(reply) = final_reply(row, attempt) {
+        if let Some(reply) = last(row, attempt) {
             commands.push(Command::Send { link, reply });
         }
         if let Some(row) = self.running.get_mut(&runner) {
@@ -91,7 +91,7 @@
             return;
         };
         for listener in row.end(state) {
-            if let Some(reply) = final_reply(&row, listener.attempt) {
+            if let Some(reply) = last(&row, listener.attempt) {
                 let link = listener.link;
                 commands.push(Command::Send { link, reply });
             }
@@ -144,7 +144,7 @@
 }
 
 /// Returns the final reply of a run that has ended.
-fn final_reply(row: &Row, attempt: Attempt) -> Option<Reply> {
+fn last(row: &Row, attempt: Attempt) -> Option<Reply> {
     match row.state {
         State::Running { .. } => None,
         State::Finished => Some(Reply::End {
--- a/crates/position/src/lib.rs
+++ b/crates/position/src/lib.rs
@@ -1,4 +1,4 @@
-//! Positions in the order of a store's changes, over the eras of the store.
+//! Positions in the sequence of a store's changes, over the eras of the store.
 //!
 //! A store may be restored from a copy that is some seconds old. The changes that it had
 //! acknowledged since are lost, and their revisions are assigned again to other changes. A
--- a/crates/position/tests/progress.rs
+++ b/crates/position/tests/progress.rs
@@ -43,7 +43,7 @@
                 progress.record_reached(at(to));
             }
             let known = (0..changed.len()).find(|&known| at(known as u64) == progress.known());
-            let known = known.expect("it is one of these");
+            let known = known.expect("the position is in the tested range");
             let missing = (1..=known).find(|&at| changed[at] && !seen[at]);
             prop_assert_eq!(missing, None);
             prop_assert_eq!(progress.is_behind(), progress.known() < progress.reached());
