--- a/crates/attempt/examples/explore.rs
+++ b/crates/attempt/examples/explore.rs
@@ -33,7 +33,7 @@
         .unwrap_or(STATES);
     let mut total = 0;
     println!(
-        "mode     faults                          states depth complete   whole not-run unknown"
+        "mode    faults                          states depth complete   whole not-run unknown"
     );
     for ticket in [false, true] {
         for (first, (one, allow_one)) in KINDS.iter().enumerate() {
--- a/crates/claim/src/shard.rs
+++ b/crates/claim/src/shard.rs
@@ -280,12 +280,12 @@
     fn flush_at(&self) -> Option<Instant> {
         let oldest = self.waiting.iter().map(|claim| claim.since).min()?;
         let full = self.waiting.len() >= self.options.batch;
-        let gathered = if full {
+        let flush_at = if full {
             oldest
         } else {
             oldest + self.options.window
         };
-        Some(gathered.max(self.not_before.unwrap_or(gathered)))
+        Some(flush_at.max(self.not_before.unwrap_or(flush_at)))
     }
 
     /// Removes the claims of the next batch from the queue, one for each key.
--- a/crates/history/src/submission.rs
+++ b/crates/history/src/submission.rs
@@ -136,7 +136,7 @@
         self.pending = None;
         if self.races == 0 {
             return Step::Done(self.give_up(format!(
-                "{slot} and all earlier tries were taken by other edits"
+                "{slot} and the revisions tried before were taken by other edits"
             )));
         }
         self.races -= 1;
--- a/crates/ledger/src/message.rs
+++ b/crates/ledger/src/message.rs
@@ -107,7 +107,7 @@
     #[display("the endpoint takes no more requests for now")]
     Throttled,
     /// The ledger has no space for another run.
-    #[display("the agent check_retained as many requests as it can")]
+    #[display("the agent remembers as many requests as it can")]
     Full,
     /// The key exceeds the maximum length.
     #[display("the key is too long")]
