--- a/crates/history/src/reader.rs
+++ b/crates/history/src/reader.rs
@@ -62,7 +62,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] if a call got no answer or the entries can't be
+    /// Returns an [`enum@Error`] if a call got no answer or the entries can't be
     /// applied.
     pub fn sync(&mut self) -> Result<Answer, Error> {
         self.follow(Version(0), Duration::ZERO)
@@ -77,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] if a call got no answer or the entries can't be
+    /// Returns an [`enum@Error`] if a call got no answer or the entries can't be
     /// applied.
     pub fn watch(&mut self, wait: Duration) -> Result<Answer, Error> {
         match self.follow(self.version, wait) {
--- a/crates/history/src/submission.rs
+++ b/crates/history/src/submission.rs
@@ -105,7 +105,7 @@
         }
         self.is_synced = true;
         // A number up to the newest revision is in use, so a delayed write to it
-        // can no longer take effect.
+        // can no longer add the edit.
         self.pending = self.pending.filter(|&slot| slot > replica.revision());
         self.validate(replica)
     }
@@ -118,7 +118,7 @@
             _ => {
                 self.pending = None;
                 let slot = Entry::path(entry.revision);
-                Step::Done(self.give_up(format!("{slot} holds no entry")))
+                Step::Done(self.give_up(format!("object {slot} holds no entry")))
             }
         }
     }
@@ -136,7 +136,7 @@
         self.pending = None;
         if self.races == 0 {
             return Step::Done(self.give_up(format!(
-                "{slot} and the revisions tried before were taken by other edits"
+                "revision {slot} and those tried before were taken by other edits"
             )));
         }
         self.races -= 1;
