--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -10,7 +10,7 @@
 use crate::request::Call;
 
 /// Writes the line that explains how a request ended.
-pub(crate) fn ended(
+pub(crate) fn log_ended(
     knowledge: &Knowledge,
     call: &Call,
     tried: &[name::Endpoint],
@@ -21,8 +21,8 @@
     let now = clock::now();
     tracing::info!(
         id = call.head.id.as_deref(),
-        route = call.judged.route.name,
-        organisation = call.judged.organisation.as_ref().map(|o| o.name.as_str()),
+        route = call.resolved.route.name,
+        organisation = call.resolved.organisation.as_ref().map(|o| o.name.as_str()),
         version = call.version,
         patience_ms = call.head.time_budget.map(millis),
         returned = call.has_returned,
@@ -41,7 +41,12 @@
 }
 
 /// Writes the line that explains why a request was refused before an endpoint was chosen.
-pub(crate) fn refused(knowledge: &Knowledge, id: Option<&str>, refusal: Refusal, arrived: Instant) {
+pub(crate) fn log_refused(
+    knowledge: &Knowledge,
+    id: Option<&str>,
+    refusal: Refusal,
+    arrived: Instant,
+) {
     let now = clock::now();
     let age = knowledge.freshness.borrow().age(now);
     let version = knowledge.configuration().map(|c| c.version);
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -6,18 +6,18 @@
 /// in no more, and the one from which they let none in. One pass in some takes
 /// a quarter longer than the usual, and one pause too long makes a whole stream
 /// late.
-const PASS_PRESSES: f64 = 0.7;
-const PASS_FULL: f64 = 1.1;
+const PASS_RATIO_SHED_SOME: f64 = 0.7;
+const PASS_RATIO_SHED_ALL: f64 = 1.1;
 /// The part of a route's target that the first event of a first attempt may be
 /// predicted to take: one that comes later makes the whole answer late, and the
 /// slot is worth more to the next caller.
-const FIRST_PART: f64 = 0.9;
+const FIRST_EVENT_RATIO_MAX: f64 = 0.9;
 
 /// How full an endpoint may be for a caller that was refused before, in hundredths
 /// of its slots, when it comes and at the end of its wait: what entries believe is a
 /// quarter of a second old, and several of them see the same free slots.
-const RETURNED_FILL: f64 = 50.0;
-const RETURNED_FILL_LAST: f64 = 75.0;
+const RETURNED_UTILISATION: f64 = 50.0;
+const RETURNED_UTILISATION_LAST: f64 = 75.0;
 /// How long a caller that was refused before waits for room: another refusal loses
 /// it, and it gives up after two seconds without an event.
 pub const RETURNED_WAIT: Duration = Duration::from_secs(1);
@@ -40,49 +40,51 @@
     /// Whether all endpoints that could take it are full.
     pub full: bool,
     /// The requests that are believed there, in hundredths of its slots.
-    pub fill: u32,
+    pub utilisation: u32,
     /// The time until it has a slot.
-    pub wait: Duration,
+    pub slot_wait: Duration,
     /// The time until its first event.
-    pub first: Duration,
+    pub first_event: Duration,
     /// How long passes of the endpoint's group take, if that is known.
-    pub pass: Option<Duration>,
+    pub pass_time: Option<Duration>,
 }
 
 /// What a route's callers accept.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Targets {
     /// The time within which the first event should come.
-    pub target: Duration,
+    pub first_event: Duration,
     /// The longest pause between events of a stream that is still on time.
-    pub pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
 }
 
 /// Tells whether a request is let in; `draw`, from 0 to 1, spreads the answer
 /// while passes get long.
 #[must_use]
-pub fn admits(caller: Caller, forecast: &Forecast, terms: &Targets, draw: f64) -> bool {
+pub fn admits(caller: Caller, forecast: &Forecast, targets: &Targets, draw: f64) -> bool {
     match caller {
         Caller::First => {
-            let late = forecast.full && forecast.first > terms.target.mul_f64(FIRST_PART);
-            !late && !presses(forecast, terms, draw)
+            let late = forecast.full
+                && forecast.first_event > targets.first_event.mul_f64(FIRST_EVENT_RATIO_MAX);
+            !late && !sheds_for_pass_time(forecast, targets, draw)
         }
         // It can't be on time any more: it takes what first attempts leave.
         Caller::Returned { waited } => {
             let part = waited.div_duration_f64(RETURNED_WAIT).min(1.0);
-            let most = RETURNED_FILL + (RETURNED_FILL_LAST - RETURNED_FILL) * part;
-            f64::from(forecast.fill) <= most && !presses(forecast, terms, draw)
+            let most =
+                RETURNED_UTILISATION + (RETURNED_UTILISATION_LAST - RETURNED_UTILISATION) * part;
+            f64::from(forecast.utilisation) <= most && !sheds_for_pass_time(forecast, targets, draw)
         }
     }
 }
 
 /// Decides whether a stream is refused so that passes stay short for those that
 /// run: one more would make all of them late.
-fn presses(forecast: &Forecast, terms: &Targets, draw: f64) -> bool {
-    let Some((pass, pause)) = forecast.pass.zip(terms.pause) else {
+fn sheds_for_pass_time(forecast: &Forecast, targets: &Targets, draw: f64) -> bool {
+    let Some((pass, pause)) = forecast.pass_time.zip(targets.max_event_gap) else {
         return false;
     };
     let part = pass.as_secs_f64() / pause.as_secs_f64();
-    let refused = (part - PASS_PRESSES) / (PASS_FULL - PASS_PRESSES);
+    let refused = (part - PASS_RATIO_SHED_SOME) / (PASS_RATIO_SHED_ALL - PASS_RATIO_SHED_SOME);
     refused > 0.0 && draw < refused
 }
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -7,14 +7,14 @@
 /// Up to this size an answer is read whole, so that a spoilt one can still be
 /// replaced; longer ones are passed on as they come. Plain answers here have a
 /// few kilobytes.
-const WHOLE_MAX: usize = 64 * 1024;
+const BUFFERED_MAX: usize = 64 * 1024;
 
 /// What was read of an answer.
 pub(crate) enum Read {
     /// All of it.
     Whole(Bytes),
     /// Its beginning; more is to come.
-    Beginning(Bytes),
+    Prefix(Bytes),
     /// It broke off.
     Broken(hyper::Error),
 }
@@ -31,8 +31,8 @@
             }
             Err(error) => return Read::Broken(error),
         }
-        if bytes.len() > WHOLE_MAX {
-            return Read::Beginning(bytes.freeze());
+        if bytes.len() > BUFFERED_MAX {
+            return Read::Prefix(bytes.freeze());
         }
     }
     Read::Whole(bytes.freeze())
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -14,9 +14,9 @@
 /// answer does not look whole.
 #[derive(Debug, Clone, Copy, Display, Error)]
 #[display("the answer broke off")]
-pub(crate) struct Broken;
+pub(crate) struct Truncated;
 
-impl From<Infallible> for Broken {
+impl From<Infallible> for Truncated {
     fn from(never: Infallible) -> Self {
         match never {}
     }
@@ -30,18 +30,18 @@
     /// Pieces as they come; `left` is the stated length that is still due.
     Pieces {
         receiver: pieces::Receiver,
-        left: Option<u64>,
+        remaining: Option<u64>,
     },
 }
 
 impl Body for Outgoing {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = Truncated;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, Truncated>>> {
         match self.get_mut() {
             Self::Whole(bytes) => Poll::Ready(
                 bytes
@@ -49,10 +49,13 @@
                     .filter(|b| !b.is_empty())
                     .map(|b| Ok(Frame::data(b))),
             ),
-            Self::Pieces { receiver, left } => receiver.poll_recv(context).map(|piece| {
+            Self::Pieces {
+                receiver,
+                remaining,
+            } => receiver.poll_recv(context).map(|piece| {
                 let piece = piece?.bytes;
-                if let (Ok(bytes), Some(left)) = (&piece, left) {
-                    *left = left.saturating_sub(bytes.len() as u64);
+                if let (Ok(bytes), Some(remaining)) = (&piece, remaining) {
+                    *remaining = remaining.saturating_sub(bytes.len() as u64);
                 }
                 Some(piece.map(Frame::data))
             }),
@@ -69,9 +72,12 @@
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |b| b.len() as u64))
             }
             Self::Pieces {
-                left: Some(left), ..
-            } => SizeHint::with_exact(*left),
-            Self::Pieces { left: None, .. } => SizeHint::default(),
+                remaining: Some(remaining),
+                ..
+            } => SizeHint::with_exact(*remaining),
+            Self::Pieces {
+                remaining: None, ..
+            } => SizeHint::default(),
         }
     }
 }
--- a/crates/gateway/src/channel.rs
+++ b/crates/gateway/src/channel.rs
@@ -165,13 +165,13 @@
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
-        most: usize,
+        max_bytes: usize,
         limit: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let peer = self.peer;
         let exchange = async {
             let (head, body) = self.send(request).await?.into_parts();
-            let body = Limited::new(body, most).collect().await;
+            let body = Limited::new(body, max_bytes).collect().await;
             let body = body.map_err(|_| Error::Body { peer })?.to_bytes();
             Ok(Response::from_parts(head, body))
         };
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -23,8 +23,8 @@
 #[derive(Debug)]
 pub struct Client {
     peer: SocketAddr,
-    connect: Duration,
-    answer_max: usize,
+    connect_timeout: Duration,
+    answer_bytes_max: usize,
     channel: Option<Channel>,
 }
 
@@ -32,11 +32,11 @@
     /// Creates a client of `peer` that connects within `connect` and reads
     /// answers of at most `answer_max` bytes.
     #[must_use]
-    pub const fn new(peer: SocketAddr, connect: Duration, answer_max: usize) -> Self {
+    pub const fn new(peer: SocketAddr, connect_timeout: Duration, answer_bytes_max: usize) -> Self {
         Self {
             peer,
-            connect,
-            answer_max,
+            connect_timeout,
+            answer_bytes_max,
             channel: None,
         }
     }
@@ -50,17 +50,19 @@
     pub async fn call(
         &mut self,
         request: Request<Bytes>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let mut channel = match self.channel.take() {
             Some(channel) if channel.is_ready() => channel,
-            _ => Channel::open(self.peer, self.connect).await?,
+            _ => Channel::open(self.peer, self.connect_timeout).await?,
         };
         let mut request = request.map(Full::new);
         if let Ok(host) = HeaderValue::from_str(&self.peer.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
-        let response = channel.call(request, self.answer_max, limit).await?;
+        let response = channel
+            .call(request, self.answer_bytes_max, timeout)
+            .await?;
         self.channel = Some(channel);
         Ok(response)
     }
@@ -73,9 +75,12 @@
     pub async fn fetch(
         &mut self,
         request: Request<Bytes>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, Failure> {
-        let response = self.call(request, limit).await.map_err(Failure::NoAnswer)?;
+        let response = self
+            .call(request, timeout)
+            .await
+            .map_err(Failure::NoAnswer)?;
         match response.status() {
             status if status.is_success() => Ok(response.into_body()),
             status => Err(Failure::Refused(status)),
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -27,7 +27,7 @@
 ) {
     let service = service_fn(|request| {
         let knowledge = Rc::clone(&knowledge);
-        async move { Ok::<_, Infallible>(flight::answer::<D>(knowledge, request).await) }
+        async move { Ok::<_, Infallible>(flight::handle::<D>(knowledge, request).await) }
     });
     let mut builder = http1::Builder::new();
     builder.timer(TokioTimer::new());
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -20,7 +20,7 @@
 
 /// A run whose connection broke before it had given anything.
 #[derive(Debug)]
-pub(crate) struct Cut {
+pub(crate) struct BrokenRun {
     pub(crate) endpoint: String,
     pub(crate) address: SocketAddr,
     pub(crate) sent: Instant,
@@ -28,28 +28,28 @@
 
 /// Finds out whether the endpoint has ended, as opposed to its connection, and remembers
 /// that of the request. Its caller may leave meanwhile.
-pub(crate) async fn examine(knowledge: &Rc<Knowledge>, call: &Call, cut: Cut) {
+pub(crate) async fn probe(knowledge: &Rc<Knowledge>, call: &Call, broken_run: BrokenRun) {
     let (knowledge, content) = (Rc::clone(knowledge), call.fingerprint());
-    let examined = tokio::task::spawn_local(examine_one(knowledge, content, cut));
-    if let Err(error) = examined.await {
+    let probed = tokio::task::spawn_local(probe_endpoint(knowledge, content, broken_run));
+    if let Err(error) = probed.await {
         tracing::error!(%content, %error, "an endpoint's end was not examined");
     }
 }
 
-async fn examine_one(knowledge: Rc<Knowledge>, content: Fingerprint, cut: Cut) {
+async fn probe_endpoint(knowledge: Rc<Knowledge>, content: Fingerprint, broken_run: BrokenRun) {
     let at = clock::now();
-    let Err(error) = tcp::connect(cut.address, PROBE_TIMEOUT).await else {
+    let Err(error) = tcp::connect(broken_run.address, PROBE_TIMEOUT).await else {
         return;
     };
     if error.kind() != ErrorKind::ConnectionRefused {
-        let endpoint = cut.endpoint;
+        let endpoint = broken_run.endpoint;
         tracing::info!(%content, endpoint, %error, "whether the endpoint has ended is open");
         return;
     }
     metrics::counter!(metric::GATEWAY_CRASHES).increment(1);
     let crash = quarantine::Crash {
-        endpoint: cut.endpoint,
-        sent: cut.sent,
+        endpoint: broken_run.endpoint,
+        sent: broken_run.sent,
         at,
     };
     knowledge.note_crash(content, &crash, clock::now());
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -5,7 +5,7 @@
 
 /// The most endpoints in a row that may be out of reach before a request is
 /// given back; none of them has seen it.
-const UNREACHED_MAX: u32 = 3;
+const UNREACHABLE_MAX: u32 = 3;
 
 /// Why an endpoint did not answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -32,22 +32,22 @@
 /// The course of one request over endpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct Lifecycle {
-    repeat: RetryPolicy,
-    attempts: u32,
+    retry_policy: RetryPolicy,
+    max_attempts: u32,
     sent: u32,
-    unreached: u32,
+    unreachable: u32,
     uncertain: bool,
 }
 
 impl Lifecycle {
     /// Creates the course of a request that may be sent to `attempts` endpoints.
     #[must_use]
-    pub const fn new(repeat: RetryPolicy, attempts: u32) -> Self {
+    pub const fn new(retry_policy: RetryPolicy, max_attempts: u32) -> Self {
         Self {
-            repeat,
-            attempts,
+            retry_policy,
+            max_attempts,
             sent: 0,
-            unreached: 0,
+            unreachable: 0,
             uncertain: false,
         }
     }
@@ -61,7 +61,7 @@
     /// Tells whether it may be sent to another endpoint.
     #[must_use]
     pub const fn may_retry(&self) -> bool {
-        self.sent < self.attempts
+        self.sent < self.max_attempts
     }
 
     /// Notes that the request is being written to an endpoint.
@@ -75,16 +75,16 @@
         match failure {
             Failure::Unsent => {
                 self.sent = self.sent.saturating_sub(1);
-                self.unreached += 1;
-                if self.unreached <= UNREACHED_MAX {
+                self.unreachable += 1;
+                if self.unreachable <= UNREACHABLE_MAX {
                     return Next::Redirect;
                 }
             }
             Failure::Refused => {}
             Failure::Uncertain => self.uncertain = true,
         }
-        let allowed = !(self.uncertain && self.repeat == RetryPolicy::Never);
-        if failure != Failure::Unsent && allowed && self.sent < self.attempts && affordable() {
+        let allowed = !(self.uncertain && self.retry_policy == RetryPolicy::Never);
+        if failure != Failure::Unsent && allowed && self.sent < self.max_attempts && affordable() {
             return Next::Repeat;
         }
         Next::Give(self.exhausted())
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -9,12 +9,12 @@
 /// Splits a stream after whole events, so that what a caller has got can be
 /// continued by another endpoint.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct Splitter {
     partial: BytesMut,
     last: Option<u64>,
 }
 
-impl Events {
+impl Splitter {
     /// Creates the boundaries of a stream that goes on after the event `last`.
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
@@ -52,14 +52,14 @@
             let end = boundary(&self.partial);
             self.partial.split_to(end).freeze()
         };
-        self.number(&whole);
+        self.record_ids(&whole);
         if self.partial.len() > EVENT_MAX {
             return self.partial.split().freeze();
         }
         whole
     }
 
-    fn number(&mut self, events: &[u8]) {
+    fn record_ids(&mut self, events: &[u8]) {
         let lines = events.split(|&byte| byte == b'\n');
         let ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
         let mut numbers = ids.filter_map(|id| std::str::from_utf8(id).ok()?.trim().parse().ok());
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -13,14 +13,14 @@
 
 use crate::admission::{self, Forecast, Targets};
 use crate::channel;
-use crate::crash::Cut;
+use crate::crash::BrokenRun;
 use crate::decide::{Failure, Lifecycle};
 use crate::dialect::Dialect;
 use crate::endpoint::Endpoint;
 use crate::fleet::Wish;
 use crate::journal::millis;
 use crate::knowledge::Knowledge;
-use crate::pool::{self, Kept, Lease, Reuse};
+use crate::pool::{self, KeepAlive, Lease, Reuse};
 use crate::request::Call;
 use crate::route::RetryPolicy;
 use crate::running::Running;
@@ -34,7 +34,7 @@
     pub(crate) lease: Lease,
     pub(crate) running: Running,
     /// What the endpoint does with the connection after its answer.
-    pub(crate) kept: Kept,
+    pub(crate) keep_alive: KeepAlive,
 }
 
 /// How a send ended without an answer.
@@ -44,7 +44,7 @@
     /// What happened, for the log.
     pub(crate) cause: String,
     /// The run, if its connection broke before it had given anything.
-    pub(crate) cut: Option<Cut>,
+    pub(crate) broken_run: Option<BrokenRun>,
 }
 
 /// Why no endpoint was chosen.
@@ -55,7 +55,7 @@
     /// All are so full that the request would be late.
     Busy,
     /// The request is held.
-    Held,
+    Quarantined,
 }
 
 /// Chooses an endpoint and counts the request there.
@@ -65,17 +65,17 @@
     tried: &[name::Endpoint],
     now: Instant,
 ) -> Result<(Endpoint, Running), Unserved> {
-    let service = &call.judged.service;
-    let homes = call.judged.homes.as_ref();
-    let within = homes.map(|homes| knowledge.options().regions.data_centres(homes));
+    let service = &call.resolved.service;
+    let regions = call.resolved.allowed_regions.as_ref();
+    let within = regions.map(|regions| knowledge.options().regions.data_centres(regions));
     let wish = Wish {
         tokens: call.head.prompt_tokens,
         tried,
-        may_probe: call.judged.route.retry_policy == RetryPolicy::Idempotent,
+        may_probe: call.resolved.route.retry_policy == RetryPolicy::Idempotent,
         within: within.as_deref(),
     };
     if knowledge.holds(call, now).is_some() {
-        return Err(Unserved::Held);
+        return Err(Unserved::Quarantined);
     }
     knowledge.drop_missing(now);
     let mut fleet = knowledge.fleet.borrow_mut();
@@ -118,7 +118,7 @@
     tried: &[name::Endpoint],
     now: Instant,
 ) -> bool {
-    let service = &call.judged.service;
+    let service = &call.resolved.service;
     if !knowledge.budgets.borrow_mut().can_retry(service, now) {
         return false;
     }
@@ -128,20 +128,20 @@
 
 /// Waits until a request should go on elsewhere: nothing has come for a while, its
 /// endpoint is lost, and another one has room.
-pub(crate) async fn lost(
+pub(crate) async fn wait_until_lost(
     knowledge: &Rc<Knowledge>,
     call: &Call,
     tried: &[name::Endpoint],
     endpoint: &name::Endpoint,
 ) {
-    tokio::time::sleep(STALLED).await;
+    tokio::time::sleep(STALL_TIME).await;
     loop {
         let now = clock::now();
         let lost = knowledge.fleet.borrow().is_lost(endpoint.as_str(), now);
         if lost && may_move(knowledge, call, tried, now) {
             return;
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -149,30 +149,30 @@
 fn forecast(knowledge: &Knowledge, choice: &choice::Choice, now: Instant) -> Forecast {
     Forecast {
         full: choice.reason == choice::Reason::Full,
-        wait: choice.wait,
-        fill: choice.fill,
-        first: choice.predicted,
-        pass: knowledge.fleet.borrow().pass(choice.endpoint.as_str(), now),
+        slot_wait: choice.wait,
+        utilisation: choice.fill,
+        first_event: choice.predicted,
+        pass_time: knowledge.fleet.borrow().pass(choice.endpoint.as_str(), now),
     }
 }
 
 /// Tells whether a request is let in.
 fn admits(knowledge: &Knowledge, call: &Call, forecast: &Forecast, now: Instant) -> bool {
-    let route = &call.judged.route;
-    let terms = Targets {
-        target: route.target_latency,
-        pause: route.max_event_gap,
+    let route = &call.resolved.route;
+    let targets = Targets {
+        first_event: route.target_latency,
+        max_event_gap: route.max_event_gap,
     };
     let draw = knowledge.rng.borrow_mut().random();
-    admission::admits(call.caller(now), forecast, &terms, draw)
+    admission::admits(call.caller(now), forecast, &targets, draw)
 }
 
 /// The time without an event after which it is looked whether the endpoint is lost: far
 /// more than the longest pause on time, and far less than the two seconds after which
 /// callers leave, whose requests a frozen host can't be told to drop.
-const STALLED: Duration = Duration::from_millis(500);
+const STALL_TIME: Duration = Duration::from_millis(500);
 /// How often it is looked again.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Sends the request to `endpoint` and waits for the head of its answer.
 pub(crate) async fn send<D: Dialect>(
@@ -187,8 +187,8 @@
     let mut lease = connect(knowledge, call, endpoint, first, &mut running).await?;
     let now = clock::now();
     let admitted = knowledge.fleet.borrow_mut().admit(endpoint, now);
-    if let Err(barred) = admitted {
-        return Err(Failed::new(Failure::Unsent, &barred.to_string()));
+    if let Err(barrier) = admitted {
+        return Err(Failed::new(Failure::Unsent, &barrier.to_string()));
     }
     let request = call.outgoing::<D>(endpoint, last_event, now);
     lifecycle.record_send();
@@ -213,13 +213,13 @@
     // A kept connection may be dropped already, or hold an extra answer. A
     // request that can't be sent twice isn't risked on one, nor is the last
     // chance of one that can.
-    let reuse = match call.judged.route.retry_policy {
+    let reuse = match call.resolved.route.retry_policy {
         RetryPolicy::Idempotent | RetryPolicy::Resume if first => Reuse::Allowed,
         RetryPolicy::Never | RetryPolicy::Idempotent | RetryPolicy::Resume => Reuse::Never,
     };
-    let most = knowledge.connections(&endpoint.service);
+    let max_open = knowledge.connections(&endpoint.service);
     let pool = knowledge.pool.clone();
-    pool.take(endpoint, most, reuse, clock::now())
+    pool.take(endpoint, max_open, reuse, clock::now())
         .await
         .map_err(|error| match error {
             pool::Error::Full => Failed::new(Failure::Unsent, "the entry's connections are in use"),
@@ -257,7 +257,7 @@
         };
         return Err(Failed::new(Failure::Refused, &cause));
     }
-    let doubt = if info.foreign {
+    let fault = if info.foreign {
         Some("an answer to another request")
     } else if head.headers.contains_key(header::CONTENT_ENCODING) {
         Some("an encoded answer")
@@ -266,29 +266,29 @@
     } else {
         None
     };
-    if let Some(cause) = doubt {
+    if let Some(cause) = fault {
         running.failed();
         return Err(Failed::new(Failure::Uncertain, cause));
     }
-    if worth_repeating(head.status, call.judged.route.retry_policy) {
+    if is_retryable(head.status, call.resolved.route.retry_policy) {
         running.failed();
     }
-    let kept = kept(&head);
+    let keep_alive = keep_alive(&head);
     Ok(Reply {
         head,
         body,
         lease,
         running,
-        kept,
+        keep_alive,
     })
 }
 
 /// Reads how long the endpoint keeps the connection.
-fn kept(head: &Parts) -> Kept {
+fn keep_alive(head: &Parts) -> KeepAlive {
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let closes = text("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     if closes || head.version == http::Version::HTTP_10 {
-        return Kept::Closed;
+        return KeepAlive::Closed;
     }
     let stated = text("keep-alive").and_then(|value| {
         let seconds = value
@@ -296,7 +296,7 @@
             .find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.trim().parse().ok().map(Duration::from_secs)
     });
-    stated.map_or(Kept::Open, Kept::For)
+    stated.map_or(KeepAlive::Open, KeepAlive::For)
 }
 
 impl Failed {
@@ -304,7 +304,7 @@
         Self {
             failure,
             cause: cause.to_owned(),
-            cut: None,
+            broken_run: None,
         }
     }
 
@@ -312,7 +312,7 @@
     pub(crate) fn broken(running: &mut Running, cause: &str) -> Self {
         running.failed();
         Self {
-            cut: running.cut(clock::now()),
+            broken_run: running.broken_run(clock::now()),
             ..Self::new(Failure::Uncertain, cause)
         }
     }
@@ -320,6 +320,6 @@
 
 /// Tells whether an answer is the endpoint's own failure of a request that
 /// may be repeated elsewhere.
-pub(crate) fn worth_repeating(status: StatusCode, repeat: RetryPolicy) -> bool {
-    status.is_server_error() && repeat == RetryPolicy::Idempotent
+pub(crate) fn is_retryable(status: StatusCode, retry_policy: RetryPolicy) -> bool {
+    status.is_server_error() && retry_policy == RetryPolicy::Idempotent
 }
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -31,7 +31,7 @@
 use crate::running::Running;
 
 /// How often it is looked whether there is room.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Counts a request as in flight until it is dropped.
 struct InFlight(Rc<Knowledge>);
@@ -52,7 +52,7 @@
 }
 
 /// Answers one request.
-pub(crate) async fn answer<D: Dialect>(
+pub(crate) async fn handle<D: Dialect>(
     knowledge: Rc<Knowledge>,
     incoming: Request<Incoming>,
 ) -> Response<Outgoing> {
@@ -61,18 +61,18 @@
     let call = match intake::admit::<D>(&knowledge, incoming, arrived).await {
         Ok(call) => call,
         Err((refusal, id)) => {
-            account::refused(&knowledge, id.as_deref(), refusal, arrived);
-            return own::<D>(&knowledge, refusal, Duration::ZERO);
+            account::log_refused(&knowledge, id.as_deref(), refusal, arrived);
+            return own_response::<D>(&knowledge, refusal, Duration::ZERO);
         }
     };
-    let service = call.judged.service.clone();
+    let service = call.resolved.service.clone();
     knowledge
         .budgets
         .borrow_mut()
         .record_request(&service, arrived);
     let lifecycle = Lifecycle::new(
-        call.judged.route.retry_policy,
-        call.judged.route.max_attempts,
+        call.resolved.route.retry_policy,
+        call.resolved.route.max_attempts,
     );
     let mut flight = Flight {
         knowledge: Rc::clone(&knowledge),
@@ -83,21 +83,21 @@
         sending: false,
         failure: None,
     };
-    let until = flight.call.until;
-    let driven = tokio::select! {
+    let deadline = flight.call.deadline;
+    let outcome = tokio::select! {
         // An answer that is ready goes before the end of the time.
         biased;
-        driven = flight.drive::<D>() => Some(driven),
-        () = knowledge.wake.wait_until(until) => None,
+        outcome = flight.drive::<D>() => Some(outcome),
+        () = knowledge.wake.wait_until(deadline) => None,
     };
-    let driven = driven.unwrap_or_else(|| Err(flight.lifecycle.timed_out(flight.sending)));
-    match driven {
+    let outcome = outcome.unwrap_or_else(|| Err(flight.lifecycle.timed_out(flight.sending)));
+    match outcome {
         Ok(Answered::Whole(head, body)) => {
             flight.log(head.status.as_u16(), "whole");
-            passed_on(&knowledge, head, Outgoing::Whole(Some(body)))
+            relayed_response(&knowledge, head, Outgoing::Whole(Some(body)))
         }
-        Ok(Answered::Pieces(reply, first)) => flight.pass_on::<D>(*reply, first, guard),
-        Err(refusal) => flight.give::<D>(refusal),
+        Ok(Answered::Pieces(reply, first)) => flight.relay::<D>(*reply, first, guard),
+        Err(refusal) => flight.refuse::<D>(refusal),
     }
 }
 
@@ -127,31 +127,35 @@
     async fn drive<D: Dialect>(&mut self) -> Result<Answered, Refusal> {
         loop {
             // Timers stand still while the host sleeps.
-            if self.call.until.left().is_zero() {
+            if self.call.deadline.left().is_zero() {
                 return Err(self.lifecycle.timed_out(false));
             }
             let (endpoint, running) =
                 match exchange::choose(&self.knowledge, &self.call, &self.tried, clock::now()) {
                     Ok(chosen) => chosen,
-                    Err(unserved) if self.waits(&unserved) => {
+                    Err(unserved) if self.may_wait(&unserved) => {
                         self.wait().await;
                         continue;
                     }
                     Err(Unserved::Busy) if self.lifecycle.sent() == 0 => return Err(Refusal::Busy),
-                    Err(Unserved::Held) if self.lifecycle.sent() == 0 => return Err(Refusal::Held),
-                    Err(Unserved::Busy | Unserved::Held) => return Err(self.lifecycle.exhausted()),
-                    Err(Unserved::None(error)) => return Err(self.unserved(&error)),
+                    Err(Unserved::Quarantined) if self.lifecycle.sent() == 0 => {
+                        return Err(Refusal::Held);
+                    }
+                    Err(Unserved::Busy | Unserved::Quarantined) => {
+                        return Err(self.lifecycle.exhausted());
+                    }
+                    Err(Unserved::None(error)) => return Err(self.refusal_without_endpoint(&error)),
                 };
             self.tried.push(running.endpoint().clone());
             let mut failed = match self.send::<D>(&endpoint, running).await {
-                Ok(reply) => match self.take(reply).await {
+                Ok(reply) => match self.receive(reply).await {
                     Ok(answered) => return Ok(answered),
                     Err(failed) => failed,
                 },
                 Err(failed) => failed,
             };
-            self.examine(&mut failed).await;
-            self.next(&failed)?;
+            self.probe_crash(&mut failed).await;
+            self.after_failure(&failed)?;
         }
     }
 
@@ -163,15 +167,15 @@
         running: Running,
     ) -> Result<Reply, Failed> {
         let (before, tried) = (self.lifecycle.sent(), running.endpoint().clone());
-        let movable = self.call.judged.route.retry_policy == RetryPolicy::Resume
-            && before + 1 < self.call.judged.route.max_attempts;
+        let movable = self.call.resolved.route.retry_policy == RetryPolicy::Resume
+            && before + 1 < self.call.resolved.route.max_attempts;
         self.sending = true;
         let last = self.call.head.last_event;
         let (knowledge, call) = (&self.knowledge, &self.call);
         let sent = tokio::select! {
             biased;
             sent = exchange::send::<D>(knowledge, call, &mut self.lifecycle, endpoint, running, last) => Some(sent),
-            () = exchange::lost(knowledge, call, &self.tried, &tried), if movable => None,
+            () = exchange::wait_until_lost(knowledge, call, &self.tried, &tried), if movable => None,
         };
         self.sending = false;
         sent.unwrap_or_else(|| {
@@ -187,9 +191,9 @@
     }
 
     /// Reads an answer as far as it has to be known before it is passed on.
-    async fn take(&mut self, mut reply: Reply) -> Result<Answered, Failed> {
-        let repeat = self.call.judged.route.retry_policy;
-        if self.call.judged.route.streaming && reply.head.status.is_success() {
+    async fn receive(&mut self, mut reply: Reply) -> Result<Answered, Failed> {
+        let retry_policy = self.call.resolved.route.retry_policy;
+        if self.call.resolved.route.streaming && reply.head.status.is_success() {
             return Ok(Answered::Pieces(Box::new(reply), Bytes::new()));
         }
         self.sending = true;
@@ -197,16 +201,16 @@
         self.sending = false;
         let bytes = match read {
             Read::Whole(bytes) => bytes,
-            Read::Beginning(bytes) => return Ok(Answered::Pieces(Box::new(reply), bytes)),
+            Read::Prefix(bytes) => return Ok(Answered::Pieces(Box::new(reply), bytes)),
             Read::Broken(error) => {
                 return Err(Failed::broken(&mut reply.running, &error.to_string()));
             }
         };
         let status = reply.head.status;
-        let more = self.lifecycle.sent() < self.call.judged.route.max_attempts;
-        if exchange::worth_repeating(status, repeat) && more {
+        let may_retry = self.lifecycle.sent() < self.call.resolved.route.max_attempts;
+        if exchange::is_retryable(status, retry_policy) && may_retry {
             let cause = format!("the endpoint answered {status}");
-            reply.lease.keep(reply.kept, clock::now());
+            reply.lease.put_back(reply.keep_alive, clock::now());
             self.failure = Some((reply.head, bytes));
             return Err(Failed::new(Failure::Refused, &cause));
         }
@@ -215,7 +219,7 @@
             reply.running.whole();
             self.knowledge.note_served(&self.call);
         }
-        reply.lease.keep(reply.kept, clock::now());
+        reply.lease.put_back(reply.keep_alive, clock::now());
         Ok(Answered::Whole(reply.head, bytes))
     }
 
@@ -226,29 +230,34 @@
             tracing::info!(id, "refused before, the request waits for room");
             metrics::counter!(metric::GATEWAY_WAITED).increment(1);
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 
     /// Tells whether a caller that was refused before still waits for room, which may come
     /// in time.
-    fn waits(&self, unserved: &Unserved) -> bool {
+    fn may_wait(&self, unserved: &Unserved) -> bool {
         let last = self.call.arrived + RETURNED_WAIT;
-        let may_come = match unserved {
-            Unserved::Held => false,
+        let may_free_up = match unserved {
+            Unserved::Quarantined => false,
             Unserved::None(choice::Error::Withheld { first, .. }) => {
                 first.is_some_and(|first| first < last)
             }
             Unserved::Busy | Unserved::None(_) => true,
         };
-        may_come && self.call.has_returned && self.lifecycle.sent() == 0 && clock::now() < last
+        may_free_up && self.call.has_returned && self.lifecycle.sent() == 0 && clock::now() < last
     }
 
     /// Returns the answer when no endpoint can be chosen.
-    fn unserved(&self, error: &choice::Error) -> Refusal {
+    fn refusal_without_endpoint(&self, error: &choice::Error) -> Refusal {
         let id = self.call.head.id.as_deref();
-        let service = self.call.judged.service.as_str();
+        let service = self.call.resolved.service.as_str();
         let evacuated = self.knowledge.evacuations.borrow().names().count();
-        let homes = self.call.judged.homes.as_ref().map(|homes| homes.join(","));
+        let homes = self
+            .call
+            .resolved
+            .allowed_regions
+            .as_ref()
+            .map(|homes| homes.join(","));
         tracing::info!(id, service, %error, evacuated, homes, "no endpoint chosen");
         let exhausted = self.lifecycle.exhausted();
         let choice::Error::Withheld { first, .. } = *error else {
@@ -263,22 +272,22 @@
 
     fn affordable(&self) -> bool {
         let mut budgets = self.knowledge.budgets.borrow_mut();
-        budgets.try_spend(&self.call.judged.service, clock::now())
+        budgets.try_spend(&self.call.resolved.service, clock::now())
     }
 
     /// Finds out whether an endpoint has ended under the request, before it is sent to
     /// another one.
-    async fn examine(&mut self, failed: &mut Failed) {
-        if let Some(cut) = failed.cut.take() {
+    async fn probe_crash(&mut self, failed: &mut Failed) {
+        if let Some(broken_run) = failed.broken_run.take() {
             // What the send has left open stays so if the time is up meanwhile.
             self.sending = true;
-            crash::examine(&self.knowledge, &self.call, cut).await;
+            crash::probe(&self.knowledge, &self.call, broken_run).await;
             self.sending = false;
         }
     }
 
     /// Decides what follows a send without an answer.
-    fn next(&mut self, failed: &Failed) -> Result<(), Refusal> {
+    fn after_failure(&mut self, failed: &Failed) -> Result<(), Refusal> {
         let mut lifecycle = self.lifecycle;
         let next = lifecycle.after_failure(failed.failure, || self.affordable());
         self.lifecycle = lifecycle;
@@ -296,17 +305,19 @@
     }
 
     /// Starts to pass a long answer or a stream on.
-    fn pass_on<D: Dialect>(
-        self,
-        reply: Reply,
-        first: Bytes,
-        guard: InFlight,
-    ) -> Response<Outgoing> {
+    fn relay<D: Dialect>(self, reply: Reply, first: Bytes, guard: InFlight) -> Response<Outgoing> {
         let (sender, receiver) = pieces::channel();
         let head = reply.head.clone();
         let length = head.headers.get(header::CONTENT_LENGTH);
-        let left = length.and_then(|length| length.to_str().ok()?.parse().ok());
-        let response = passed_on(&self.knowledge, head, Outgoing::Pieces { receiver, left });
+        let remaining = length.and_then(|length| length.to_str().ok()?.parse().ok());
+        let response = relayed_response(
+            &self.knowledge,
+            head,
+            Outgoing::Pieces {
+                receiver,
+                remaining,
+            },
+        );
         let Self {
             knowledge,
             call,
@@ -325,7 +336,7 @@
         };
         tokio::task::spawn_local(async move {
             let (end, pump) = pump.run::<D>(reply, first).await;
-            account::ended(
+            account::log_ended(
                 &pump.knowledge,
                 &pump.call,
                 &pump.tried,
@@ -339,32 +350,36 @@
     }
 
     /// Answers the caller though no endpoint did what it asked for.
-    fn give<D: Dialect>(mut self, refusal: Refusal) -> Response<Outgoing> {
+    fn refuse<D: Dialect>(mut self, refusal: Refusal) -> Response<Outgoing> {
         if let Some((head, body)) = self.failure.take() {
             let outcome = format!("an endpoint's own failure, then: {refusal}");
             self.log(head.status.as_u16(), &outcome);
-            return passed_on(&self.knowledge, head, Outgoing::Whole(Some(body)));
+            return relayed_response(&self.knowledge, head, Outgoing::Whole(Some(body)));
         }
         self.log(refusal.status().as_u16(), &refusal.to_string());
-        let left = self.call.until.left();
-        own::<D>(&self.knowledge, refusal, left)
+        let remaining = self.call.deadline.left();
+        own_response::<D>(&self.knowledge, refusal, remaining)
     }
 
     fn log(&self, status: u16, outcome: &str) {
-        account::ended(&self.knowledge, &self.call, &self.tried, status, outcome, 0);
+        account::log_ended(&self.knowledge, &self.call, &self.tried, status, outcome, 0);
     }
 }
 
-fn own<D: Dialect>(knowledge: &Knowledge, refusal: Refusal, left: Duration) -> Response<Outgoing> {
+fn own_response<D: Dialect>(
+    knowledge: &Knowledge,
+    refusal: Refusal,
+    remaining: Duration,
+) -> Response<Outgoing> {
     let mut response = refusal
-        .response::<D>(refusal.pause(left, knowledge.rng.borrow_mut().random()))
+        .response::<D>(refusal.retry_after(remaining, knowledge.rng.borrow_mut().random()))
         .map(|body| Outgoing::Whole(Some(body)));
     close_if_stopping(knowledge, &mut response);
     response
 }
 
 /// Writes an endpoint's answer for the caller.
-fn passed_on(
+fn relayed_response(
     knowledge: &Knowledge,
     head: http::response::Parts,
     body: Outgoing,
@@ -372,7 +387,7 @@
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
-    request::strip(response.headers_mut());
+    request::strip_hop_by_hop(response.headers_mut());
     close_if_stopping(knowledge, &mut response);
     response
 }
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -30,15 +30,15 @@
     let configuration = knowledge.configuration();
     let limit = configuration
         .as_ref()
-        .map_or(BODY_MAX, |c| c.limits.body_bytes);
-    let patience = configuration
+        .map_or(DEFAULT_BODY_MAX, |c| c.limits.body_bytes);
+    let timeout = configuration
         .as_ref()
-        .map_or(BODY_TIME, |c| c.limits.idle_time);
-    let mut room = knowledge
+        .map_or(DEFAULT_BODY_TIMEOUT, |c| c.limits.idle_time);
+    let mut reservation = knowledge
         .memory
         .reserve()
         .ok_or_else(|| fail(Refusal::NoMemory))?;
-    let body = read_body(body, limit, patience, &knowledge.memory, &mut room);
+    let body = read_body(body, limit, timeout, &knowledge.memory, &mut reservation);
     let body = body.await.map_err(fail)?;
     if knowledge.closing.get() {
         return Err(fail(Refusal::Stopping));
@@ -56,24 +56,24 @@
         .get(header::HOST)
         .and_then(|host| host.to_str().ok());
     let draw = knowledge.rng.borrow_mut().random();
-    let judged = request::judge(&configuration, host, parts.uri.path(), &head, draw);
-    let judged = match judged {
+    let resolved = request::resolve(&configuration, host, parts.uri.path(), &head, draw);
+    let resolved = match resolved {
         // What isn't known here may have come with a configuration that
         // hasn't arrived.
         Err(Refusal::NoRoute | Refusal::NoKey) if !fresh => Err(Refusal::NotFresh),
-        Ok(judged) if judged.organisation.is_some() && !fresh => Err(Refusal::NotFresh),
+        Ok(resolved) if resolved.organisation.is_some() && !fresh => Err(Refusal::NotFresh),
         other => other,
     }
     .map_err(fail)?;
     let mut headers = parts.headers;
-    request::strip(&mut headers);
+    request::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
     let has_returned = knowledge
         .time_budgets
         .borrow_mut()
-        .has_returned(&judged.route.name, head.time_budget);
-    let until = Call::due(&judged.route, &head, arrived);
+        .has_returned(&resolved.route.name, head.time_budget);
+    let deadline = Call::deadline_of(&resolved.route, &head, arrived);
     let target = parts
         .uri
         .path_and_query()
@@ -84,29 +84,29 @@
         target,
         headers,
         body,
-        room,
+        reservation,
         head,
-        judged,
+        resolved,
         has_returned,
         version: configuration.version,
         arrived,
-        until,
-        digest: OnceCell::new(),
+        deadline,
+        fingerprint: OnceCell::new(),
     })
 }
 
 /// The most bytes of a body, and the time for one, while no configuration
 /// says otherwise.
-const BODY_MAX: usize = 1 << 20;
-const BODY_TIME: Duration = Duration::from_secs(15);
+const DEFAULT_BODY_MAX: usize = 1 << 20;
+const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
 /// Reads a body piece by piece, each of which is counted in `held`.
 async fn read_body(
     body: Incoming,
     limit: usize,
-    patience: Duration,
+    timeout: Duration,
     memory: &Memory,
-    held: &mut Reservation,
+    reservation: &mut Reservation,
 ) -> Result<Bytes, Refusal> {
     let mut body = Limited::new(body, limit);
     let read = async {
@@ -120,13 +120,13 @@
                 }
             })?;
             let data = frame.into_data().unwrap_or_default();
-            if !memory.grow(held, data.len()) {
+            if !memory.grow(reservation, data.len()) {
                 return Err(Refusal::NoMemory);
             }
             whole.extend_from_slice(&data);
         }
         Ok(whole.freeze())
     };
-    let whole = tokio::time::timeout(patience, read).await;
+    let whole = tokio::time::timeout(timeout, read).await;
     whole.unwrap_or(Err(Refusal::SlowBody))
 }
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -14,13 +14,13 @@
 
 /// The most bytes of lines that wait to be written: some thousand lines, and
 /// two seconds of an entry's lines at a thousand requests a second.
-const WAITING_MAX: usize = 512 * 1024;
+const PENDING_BYTES_MAX: usize = 512 * 1024;
 /// How long lines are gathered before they are written together: a wake-up
 /// and a system call for each line would cost more than its text.
-const GATHERING: Duration = Duration::from_millis(250);
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Pending {
     bytes: Vec<u8>,
     dropped: u64,
 }
@@ -28,7 +28,7 @@
 /// The lines that wait to be written.
 #[derive(Debug, Clone, Default)]
 pub struct BufferedLog {
-    shared: Arc<(Mutex<Waiting>, Condvar)>,
+    shared: Arc<(Mutex<Pending>, Condvar)>,
 }
 
 impl BufferedLog {
@@ -45,7 +45,7 @@
         let writer = journal.clone();
         std::thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || writer.write_on())?;
+            .spawn(move || writer.run())?;
         Ok(journal)
     }
 
@@ -56,26 +56,26 @@
         let _: io::Result<()> = io::stdout().lock().write_all(&bytes);
     }
 
-    fn write_on(&self) {
+    fn run(&self) {
         loop {
-            self.wait();
-            std::thread::sleep(GATHERING);
+            self.wait_for_lines();
+            std::thread::sleep(FLUSH_INTERVAL);
             self.flush();
         }
     }
 
-    fn wait(&self) {
+    fn wait_for_lines(&self) {
         let (lock, wake) = &*self.shared;
         let guard = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        drop(wake.wait_while(guard, |waiting| waiting.bytes.is_empty()));
+        drop(wake.wait_while(guard, |pending| pending.bytes.is_empty()));
     }
 
     fn take(&self) -> Vec<u8> {
         let (lock, _) = &*self.shared;
-        let mut waiting = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut bytes = std::mem::take(&mut waiting.bytes);
-        let dropped = std::mem::take(&mut waiting.dropped);
-        drop(waiting);
+        let mut pending = lock.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut bytes = std::mem::take(&mut pending.bytes);
+        let dropped = std::mem::take(&mut pending.dropped);
+        drop(pending);
         if dropped > 0 {
             metrics::counter!(metric::LOG_LINES_DROPPED).increment(dropped);
             bytes.extend_from_slice(
@@ -92,14 +92,14 @@
 impl Write for &BufferedLog {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let (lock, wake) = &*self.shared;
-        let mut waiting = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.bytes.len() + line.len() > WAITING_MAX {
-            waiting.dropped += 1;
+        let mut pending = lock.lock().unwrap_or_else(PoisonError::into_inner);
+        if pending.bytes.len() + line.len() > PENDING_BYTES_MAX {
+            pending.dropped += 1;
             return Ok(line.len());
         }
-        let first = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line);
-        drop(waiting);
+        let first = pending.bytes.is_empty();
+        pending.bytes.extend_from_slice(line);
+        drop(pending);
         if first {
             wake.notify_one();
         }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -12,7 +12,7 @@
 pub const ANSWER_BYTES: u32 = 16 * 1024;
 /// The part of a host's memory that requests and answers may take: one in so many. The
 /// configuration, idle connections and what the allocator keeps need the rest.
-const PART: u64 = 2;
+const HOST_DIVISOR: u64 = 2;
 
 /// The memory that an entry has for requests and answers under way.
 #[derive(Debug)]
@@ -30,7 +30,7 @@
     /// Creates the memory of an entry on a host that has `host_bytes`.
     #[must_use]
     pub fn of_host(host_bytes: u64) -> Self {
-        let bytes = usize::try_from(host_bytes / PART).unwrap_or(usize::MAX);
+        let bytes = usize::try_from(host_bytes / HOST_DIVISOR).unwrap_or(usize::MAX);
         Self {
             free: Arc::new(Semaphore::new(bytes.min(Semaphore::MAX_PERMITS))),
         }
@@ -47,12 +47,12 @@
 
     /// Adds so many bytes to what a request holds; tells whether there was room.
     #[must_use]
-    pub fn grow(&self, held: &mut Reservation, bytes: usize) -> bool {
+    pub fn grow(&self, reservation: &mut Reservation, bytes: usize) -> bool {
         let Ok(bytes) = u32::try_from(bytes) else {
             return false;
         };
         let more = Arc::clone(&self.free).try_acquire_many_owned(bytes);
-        more.map(|more| held.permit.merge(more)).is_ok()
+        more.map(|more| reservation.permit.merge(more)).is_ok()
     }
 
     /// Returns the bytes that are free.
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -6,14 +6,14 @@
 const HUNDRED: f64 = 100.0;
 /// The bounds of a pace that is believed. A rank is never planned for as faster
 /// than usual, and beyond fifty times slower nothing is left to decide.
-const FACTOR: std::ops::RangeInclusive<f64> = 1.0..=50.0;
+const FACTOR_RANGE: std::ops::RangeInclusive<f64> = 1.0..=50.0;
 
 /// The factor from which a rank is sent elsewhere what it would get.
-const SLOW: f64 = 2.0;
+const SLOW_FACTOR: f64 = 2.0;
 /// The factor from which its streams are moved. Reading a prompt anew takes some
 /// 15 ms of one rank; a rank that is three times slower costs each pass about as
 /// much for each two of its streams, and a stream lasts for tens of passes.
-const STRAGGLER: f64 = 3.0;
+const STRAGGLER_FACTOR: f64 = 3.0;
 
 /// How many times longer than usual a rank takes for its work, in hundredths.
 #[message]
@@ -37,7 +37,7 @@
     )]
     pub fn from_factor(factor: f64) -> Self {
         let sound = if factor.is_finite() { factor } else { 1.0 };
-        let factor = sound.clamp(*FACTOR.start(), *FACTOR.end());
+        let factor = sound.clamp(*FACTOR_RANGE.start(), *FACTOR_RANGE.end());
         Self((factor * HUNDRED).round() as u16)
     }
 
@@ -46,14 +46,14 @@
     /// for its own part and for a tenth of the experts' work together.
     #[must_use]
     pub fn is_slow(self) -> bool {
-        self.factor() >= SLOW
+        self.factor() >= SLOW_FACTOR
     }
 
     /// Tells whether the rank is so slow that its streams are worth moving to others:
     /// all ranks of the group wait in each pass for its own part.
     #[must_use]
     pub fn is_straggler(self) -> bool {
-        self.factor() >= STRAGGLER
+        self.factor() >= STRAGGLER_FACTOR
     }
 
     /// Returns how many times longer than usual the rank takes.
--- a/crates/gateway/src/pieces.rs
+++ b/crates/gateway/src/pieces.rs
@@ -6,13 +6,13 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-use crate::body::Broken;
+use crate::body::Truncated;
 use crate::memory::ANSWER_BYTES;
 
 /// A piece, which counts until the caller's connection takes it.
 #[derive(Debug)]
 pub(crate) struct Piece {
-    pub(crate) bytes: Result<Bytes, Broken>,
+    pub(crate) bytes: Result<Bytes, Truncated>,
     _room: Option<OwnedSemaphorePermit>,
 }
 
@@ -28,7 +28,7 @@
 
 /// The caller's connection has ended.
 #[derive(Debug)]
-pub(crate) struct Left;
+pub(crate) struct Disconnected;
 
 /// Returns the two ends of an answer.
 pub(crate) fn channel() -> (Sender, Receiver) {
@@ -43,15 +43,15 @@
     /// # Errors
     ///
     /// Returns that the caller has left.
-    pub(crate) async fn send(&self, bytes: Bytes) -> Result<(), Left> {
+    pub(crate) async fn send(&self, bytes: Bytes) -> Result<(), Disconnected> {
         let size = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
         let room = Arc::clone(&self.room).acquire_many_owned(size.min(ANSWER_BYTES));
         let room = tokio::select! {
             biased;
-            room = room => room.map_err(|_| Left)?,
-            () = self.closed() => return Err(Left),
+            room = room => room.map_err(|_| Disconnected)?,
+            () = self.closed() => return Err(Disconnected),
         };
-        self.put(Ok(bytes), Some(room))
+        self.enqueue(Ok(bytes), Some(room))
     }
 
     /// Puts the sign that the answer broke off.
@@ -59,8 +59,8 @@
     /// # Errors
     ///
     /// Returns that the caller has left.
-    pub(crate) fn break_off(&self) -> Result<(), Left> {
-        self.put(Err(Broken), None)
+    pub(crate) fn send_truncated(&self) -> Result<(), Disconnected> {
+        self.enqueue(Err(Truncated), None)
     }
 
     /// Waits until the caller has left.
@@ -68,12 +68,12 @@
         self.pieces.closed().await;
     }
 
-    fn put(
+    fn enqueue(
         &self,
-        bytes: Result<Bytes, Broken>,
+        bytes: Result<Bytes, Truncated>,
         room: Option<OwnedSemaphorePermit>,
-    ) -> Result<(), Left> {
+    ) -> Result<(), Disconnected> {
         let piece = Piece { bytes, _room: room };
-        self.pieces.send(piece).map_err(|_| Left)
+        self.pieces.send(piece).map_err(|_| Disconnected)
     }
 }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -18,7 +18,7 @@
 const IDLE_TIME: Duration = Duration::from_secs(4);
 /// The part of the endpoint's stated idle time after which a connection is
 /// not used again, since the endpoint may be closing it.
-const IDLE_PART: f64 = 0.7;
+const IDLE_FRACTION: f64 = 0.7;
 
 /// A connection that is kept for the next request.
 #[derive(Debug)]
@@ -69,7 +69,7 @@
 
 /// What an endpoint does with a connection after its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Kept {
+pub(crate) enum KeepAlive {
     /// It closes it.
     Closed,
     /// It keeps it, and doesn't say for how long.
@@ -83,7 +83,7 @@
     pub(crate) async fn take(
         &self,
         endpoint: &Endpoint,
-        most: u32,
+        max_open: u32,
         reuse: Reuse,
         now: Instant,
     ) -> Result<Lease, Error> {
@@ -92,7 +92,7 @@
             endpoint: endpoint.id.clone(),
             pool: self.clone(),
         };
-        if let Some(channel) = self.reserve(endpoint, most, reuse, now)? {
+        if let Some(channel) = self.reserve(endpoint, max_open, reuse, now)? {
             return Ok(lease(channel));
         }
         let reservation = Reservation {
@@ -111,7 +111,7 @@
     fn reserve(
         &self,
         endpoint: &Endpoint,
-        most: u32,
+        max_open: u32,
         reuse: Reuse,
         now: Instant,
     ) -> Result<Option<Channel>, Error> {
@@ -127,7 +127,7 @@
         {
             return Ok(Some(idle.channel));
         }
-        if row.open >= most.max(1) {
+        if row.open >= max_open.max(1) {
             if row.idle.is_empty() {
                 return Err(Error::Full);
             }
@@ -179,11 +179,11 @@
 
     /// Gives the connection back after a whole answer, to be used again for as
     /// long as the endpoint said it keeps it.
-    pub(crate) fn keep(mut self, kept: Kept, now: Instant) {
-        let idle = match kept {
-            Kept::Closed => return,
-            Kept::Open => IDLE_TIME,
-            Kept::For(time) => time.mul_f64(IDLE_PART).min(IDLE_TIME),
+    pub(crate) fn put_back(mut self, keep_alive: KeepAlive, now: Instant) {
+        let idle = match keep_alive {
+            KeepAlive::Closed => return,
+            KeepAlive::Open => IDLE_TIME,
+            KeepAlive::For(time) => time.mul_f64(IDLE_FRACTION).min(IDLE_TIME),
         };
         let pool = self.pool.clone();
         let mut rows = pool.rows.borrow_mut();
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -14,7 +14,7 @@
 use crate::crash;
 use crate::decide::{Failure, Lifecycle, Next};
 use crate::dialect::Dialect;
-use crate::events::Events;
+use crate::events::Splitter;
 use crate::exchange::{self, Failed, Reply};
 use crate::knowledge::Knowledge;
 use crate::pieces::Sender;
@@ -29,7 +29,7 @@
     Whole,
     /// The caller left.
     #[display("caller left")]
-    Left,
+    CallerLeft,
     /// The time was up.
     #[display("time up")]
     TimeUp,
@@ -62,12 +62,12 @@
 const EVENTS: &[u8] = b"text/event-stream";
 
 /// What became of one endpoint's part of an answer.
-enum Part {
+enum PartEnd {
     End(End),
     Broken(Failed),
 }
 
-impl Part {
+impl PartEnd {
     /// Returns that the stream is to go on elsewhere, since `cause`.
     fn broken(cause: &str) -> Self {
         Self::Broken(Failed::new(Failure::Uncertain, cause))
@@ -77,66 +77,66 @@
 impl Pump {
     /// Passes `reply` on, after the bytes `first` that were read already.
     pub(crate) async fn run<D: Dialect>(mut self, mut reply: Reply, first: Bytes) -> (End, Self) {
-        let resumable = self.call.judged.route.retry_policy == RetryPolicy::Resume
+        let resumable = self.call.resolved.route.retry_policy == RetryPolicy::Resume
             && is_open_stream(&reply.head);
-        let mut events = resumable.then(|| Events::new(self.call.head.last_event));
+        let mut events = resumable.then(|| Splitter::new(self.call.head.last_event));
         if !first.is_empty() && self.sender.send(first).await.is_err() {
-            return (End::Left, self);
+            return (End::CallerLeft, self);
         }
         loop {
-            let mut failed = match self.part(reply, events.as_mut()).await {
-                Part::End(end) => return (self.close(end), self),
-                Part::Broken(failed) => failed,
+            let mut failed = match self.relay_part(reply, events.as_mut()).await {
+                PartEnd::End(end) => return (self.finish(end), self),
+                PartEnd::Broken(failed) => failed,
             };
-            self.examine(&mut failed).await;
+            self.probe_crash(&mut failed).await;
             let Some(events) = events.as_mut() else {
-                return (self.close(End::Broken), self);
+                return (self.finish(End::Broken), self);
             };
             events.drop_partial();
             match self.resume::<D>(events.last(), failed).await {
                 Some(next) => reply = next,
-                None => return (self.close(End::Broken), self),
+                None => return (self.finish(End::Broken), self),
             }
         }
     }
 
     /// Tells the caller by a cut connection if the answer is not whole.
-    fn close(&self, end: End) -> End {
+    fn finish(&self, end: End) -> End {
         if matches!(end, End::TimeUp | End::Broken) {
             // A caller that has left meanwhile needs no sign.
-            let _: Result<(), _> = self.sender.break_off();
+            let _: Result<(), _> = self.sender.send_truncated();
         }
         end
     }
 
     /// Passes on what one endpoint sends.
-    async fn part(&self, reply: Reply, mut events: Option<&mut Events>) -> Part {
+    async fn relay_part(&self, reply: Reply, mut events: Option<&mut Splitter>) -> PartEnd {
         let Reply {
             mut body,
             lease,
             mut running,
-            kept,
+            keep_alive,
             ..
         } = reply;
-        let until = self.call.until;
+        let deadline = self.call.deadline;
         loop {
             let frame = tokio::select! {
                 biased;
-                () = self.sender.closed() => return Part::End(End::Left),
+                () = self.sender.closed() => return PartEnd::End(End::CallerLeft),
                 frame = body.frame() => frame,
-                () = self.knowledge.wake.wait_until(until) => return Part::End(End::TimeUp),
-                () = exchange::lost(&self.knowledge, &self.call, &self.tried, running.endpoint()),
+                () = self.knowledge.wake.wait_until(deadline) => return PartEnd::End(End::TimeUp),
+                () = exchange::wait_until_lost(&self.knowledge, &self.call, &self.tried, running.endpoint()),
                     if events.is_some() && self.lifecycle.may_retry() =>
                 {
                     running.failed();
                     metrics::counter!(metric::GATEWAY_MOVED).increment(1);
-                    return Part::broken("the endpoint is lost");
+                    return PartEnd::broken("the endpoint is lost");
                 }
             };
             let data = match frame {
                 None => break,
                 Some(Err(error)) => {
-                    return Part::Broken(Failed::broken(&mut running, &error.to_string()));
+                    return PartEnd::Broken(Failed::broken(&mut running, &error.to_string()));
                 }
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
@@ -146,40 +146,40 @@
                 None => data,
             };
             if !data.is_empty() && self.sender.send(data).await.is_err() {
-                return Part::End(End::Left);
+                return PartEnd::End(End::CallerLeft);
             }
-            if events.is_some() && self.leaves(running.endpoint()) {
+            if events.is_some() && self.should_move(running.endpoint()) {
                 metrics::counter!(metric::GATEWAY_MOVED).increment(1);
-                return Part::broken("the endpoint is far slower than others");
+                return PartEnd::broken("the endpoint is far slower than others");
             }
         }
         if events.is_some_and(|events| events.is_partial()) {
             running.failed();
-            return Part::broken("the stream ended within an event");
+            return PartEnd::broken("the stream ended within an event");
         }
         running.whole();
         self.knowledge.note_served(&self.call);
-        lease.keep(kept, clock::now());
-        Part::End(End::Whole)
+        lease.put_back(keep_alive, clock::now());
+        PartEnd::End(End::Whole)
     }
 
     /// Tells whether a stream should go on at another endpoint: all ranks of a group
     /// wait in each pass for what a straggler does for its own streams.
-    fn leaves(&self, endpoint: &name::Endpoint) -> bool {
+    fn should_move(&self, endpoint: &name::Endpoint) -> bool {
         let now = clock::now();
-        let straggles = || {
+        let is_straggler = || {
             let fleet = self.knowledge.fleet.borrow();
             fleet.is_straggler(endpoint.as_str(), now)
         };
         self.lifecycle.may_retry()
-            && straggles()
+            && is_straggler()
             && exchange::may_move(&self.knowledge, &self.call, &self.tried, now)
     }
 
     /// Finds out whether an endpoint has ended under the request.
-    async fn examine(&self, failed: &mut Failed) {
-        if let Some(cut) = failed.cut.take() {
-            crash::examine(&self.knowledge, &self.call, cut).await;
+    async fn probe_crash(&self, failed: &mut Failed) {
+        if let Some(broken_run) = failed.broken_run.take() {
+            crash::probe(&self.knowledge, &self.call, broken_run).await;
         }
     }
 
@@ -190,14 +190,14 @@
         mut failure: Failed,
     ) -> Option<Reply> {
         loop {
-            self.examine(&mut failure).await;
+            self.probe_crash(&mut failure).await;
             let now = clock::now();
-            let service = self.call.judged.service.clone();
+            let service = self.call.resolved.service.clone();
             let affordable = || self.knowledge.budgets.borrow_mut().try_spend(&service, now);
             let next = self.lifecycle.after_failure(failure.failure, affordable);
             let id = self.call.head.id.as_deref();
             tracing::info!(id, content = %self.call.fingerprint(), after = last, cause = failure.cause, next = ?next, "stream broken at its endpoint");
-            if matches!(next, Next::Give(_)) || now >= self.call.until {
+            if matches!(next, Next::Give(_)) || now >= self.call.deadline {
                 return None;
             }
             let (endpoint, running) =
@@ -211,12 +211,12 @@
                 running,
                 last,
             );
-            let until = self.call.until;
+            let deadline = self.call.deadline;
             let sent = tokio::select! {
                 biased;
                 () = self.sender.closed() => return None,
                 sent = sending => sent,
-                () = self.knowledge.wake.wait_until(until) => return None,
+                () = self.knowledge.wake.wait_until(deadline) => return None,
             };
             match sent {
                 Ok(reply) if reply.head.status.is_success() => {
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -57,7 +57,7 @@
 #[derive(Debug)]
 struct Row {
     crashes: Vec<Crash>,
-    held_until: Option<Instant>,
+    quarantined_until: Option<Instant>,
     /// Whether the store is known to have a record that it is held.
     recorded: bool,
     /// When it is forgotten.
@@ -68,7 +68,7 @@
     const fn new(until: Instant) -> Self {
         Self {
             crashes: Vec::new(),
-            held_until: None,
+            quarantined_until: None,
             recorded: false,
             until,
         }
@@ -77,21 +77,21 @@
     /// Returns the crashes that can't have one common cause, as the loss of a rack has that
     /// ends several endpoints at which callers wait for the same: those of runs of which
     /// each began after the one before had ended.
-    fn separate(&mut self) -> usize {
+    fn independent_crashes(&mut self) -> usize {
         self.crashes.sort_by_key(|crash| crash.at);
         let mut last: Option<Instant> = None;
-        let separate = |crash: &&Crash| {
+        let independent = |crash: &&Crash| {
             let counts = last.is_none_or(|last| crash.sent >= last);
             if counts {
                 last = Some(crash.at);
             }
             counts
         };
-        self.crashes.iter().filter(separate).count()
+        self.crashes.iter().filter(independent).count()
     }
 
-    fn hold(&mut self, until: Instant) {
-        self.held_until = Some(until);
+    fn quarantine(&mut self, until: Instant) {
+        self.quarantined_until = Some(until);
         self.until = until;
     }
 }
@@ -121,8 +121,8 @@
     /// Returns how many requests are held.
     #[must_use]
     pub fn quarantined_len(&self) -> usize {
-        let held = |row: &&Row| row.held_until.is_some();
-        self.rows.values().filter(held).count()
+        let quarantined = |row: &&Row| row.quarantined_until.is_some();
+        self.rows.values().filter(quarantined).count()
     }
 
     /// Takes that an endpoint ended under the request `content`.
@@ -134,15 +134,15 @@
         if row.crashes.iter().any(known) {
             return Verdict::Known;
         }
-        if row.held_until.is_some() {
+        if row.quarantined_until.is_some() {
             return Verdict::HeldBefore;
         }
         row.crashes.push(crash.clone());
         row.until = until;
-        if row.separate() < CRASH_THRESHOLD {
+        if row.independent_crashes() < CRASH_THRESHOLD {
             return Verdict::Suspected;
         }
-        row.hold(now + QUARANTINE_TIME);
+        row.quarantine(now + QUARANTINE_TIME);
         self.cleared.remove(&content);
         Verdict::Held
     }
@@ -153,17 +153,17 @@
         self.make_room(content);
         let until = now + left.min(QUARANTINE_TIME);
         let row = self.rows.get_or_insert_with(content, || Row::new(until));
-        if row.held_until.is_some() {
+        if row.quarantined_until.is_some() {
             return false;
         }
-        row.hold(until);
+        row.quarantine(until);
         true
     }
 
     /// Returns how long the request is held still, if it is.
     #[must_use]
     pub fn time_left(&self, content: Fingerprint, now: Instant) -> Option<Duration> {
-        let until = self.rows.get(&content)?.held_until?;
+        let until = self.rows.get(&content)?.quarantined_until?;
         until.checked_duration_since(now)
     }
 
@@ -171,11 +171,11 @@
     /// returns whether it was held, or `None` if nothing was remembered of it.
     pub fn clear(&mut self, content: Fingerprint, now: Instant) -> Option<bool> {
         let row = self.rows.remove(&content)?;
-        let was_held = row.held_until.is_some();
-        if was_held {
+        let was_quarantined = row.quarantined_until.is_some();
+        if was_quarantined {
             self.cleared.insert(content, now + CLEARED_TIME);
         }
-        Some(was_held)
+        Some(was_quarantined)
     }
 
     /// Tells whether the request was held and has been served since, not long ago.
@@ -197,14 +197,14 @@
         let Some(row) = self.rows.get_mut(&content) else {
             return false;
         };
-        let missing = row.held_until.is_some() && !row.recorded && !recorded;
+        let missing = row.quarantined_until.is_some() && !row.recorded && !recorded;
         row.recorded |= recorded;
         missing
     }
 
     /// Returns the requests that are held, each with how long it is so.
     pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
-        let left = move |row: &Row| row.held_until?.checked_duration_since(now);
+        let left = move |row: &Row| row.quarantined_until?.checked_duration_since(now);
         let rows = self.rows.iter();
         rows.filter_map(move |(content, row)| Some((*content, left(row)?)))
     }
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -11,12 +11,12 @@
 
 /// When a refused caller is told to come back if it is another entry that will
 /// serve it, and at least: the time to find one.
-pub const COME_BACK: Duration = Duration::from_millis(300);
+pub const RETRY_AFTER_MIN: Duration = Duration::from_millis(300);
 /// The part of the time that a caller has left after which it comes back if
 /// endpoints have to recover first. Callers wait a third at most. A group of
 /// ranks is back two seconds after all hosts have lost their power, and a stream
 /// that fills an engine takes about as long.
-const RECOVERY_PART: f64 = 0.28;
+const RECOVERY_FRACTION: f64 = 0.28;
 /// The longest time for that: it is worth less the later it is.
 const RECOVERY_MAX: Duration = Duration::from_millis(2_400);
 
@@ -95,7 +95,7 @@
     /// Tells whether the request has not run, so that the caller may send it
     /// again after a pause.
     #[must_use]
-    pub const fn may_come_back(self) -> bool {
+    pub const fn is_retryable(self) -> bool {
         matches!(
             self,
             Self::SlowBody
@@ -113,18 +113,18 @@
     /// from 0 to 1, so that those who were refused together don't return
     /// together.
     #[must_use]
-    pub fn pause(self, left: Duration, draw: f64) -> Duration {
+    pub fn retry_after(self, left: Duration, draw: f64) -> Duration {
         let spread = 0.5 + draw.clamp(0.0, 1.0) / 2.0;
         match self {
             Self::Busy | Self::NotRun => {
-                let recovery = left.mul_f64(RECOVERY_PART).min(RECOVERY_MAX);
-                recovery.mul_f64(0.5 + spread / 2.0).max(COME_BACK)
+                let recovery = left.mul_f64(RECOVERY_FRACTION).min(RECOVERY_MAX);
+                recovery.mul_f64(0.5 + spread / 2.0).max(RETRY_AFTER_MIN)
             }
             // One request is let in then, so that the others come after it.
-            Self::Throttled { wait } => wait.max(COME_BACK).mul_f64(0.5 + spread),
+            Self::Throttled { wait } => wait.max(RETRY_AFTER_MIN).mul_f64(0.5 + spread),
             // Coming back sooner helps nobody.
             Self::Held => quarantine::QUARANTINE_TIME,
-            _ => COME_BACK.mul_f64(spread),
+            _ => RETRY_AFTER_MIN.mul_f64(spread),
         }
     }
 
@@ -137,7 +137,7 @@
             header::CONTENT_TYPE,
             HeaderValue::from_static("application/json"),
         );
-        if self.may_come_back() {
+        if self.is_retryable() {
             D::set_retry_after(headers, after);
         }
         response
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -12,7 +12,7 @@
 
 /// How often settings are read without a signal; they may change silently, and
 /// reading two kilobytes costs some microseconds.
-const READ_EVERY: Duration = Duration::from_secs(2);
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Calls `changed` at each signal to reload (`true`) and in between.
 ///
@@ -24,7 +24,7 @@
     loop {
         let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(READ_EVERY) => false,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
         changed(signalled);
     }
@@ -44,7 +44,7 @@
                     tracing::info!("reload asked for, settings are the same");
                 }
             }
-            Ok(new) => take(&knowledge, new.clone()),
+            Ok(new) => apply(&knowledge, new.clone()),
             Err(error) if signalled || !failing => {
                 tracing::error!(%error, "settings not taken, the last good ones stay");
             }
@@ -55,14 +55,14 @@
     .await
 }
 
-fn take(knowledge: &Knowledge, new: Options) {
+fn apply(knowledge: &Knowledge, new: Options) {
     let old = knowledge.options();
-    let moved = old.listen != new.listen
+    let addresses_changed = old.listen != new.listen
         || old.readiness != new.readiness
         || old.resolver != new.resolver
         || old.peers != new.peers
         || old.metrics != new.metrics;
-    if moved {
+    if addresses_changed {
         tracing::warn!("new addresses are used from the next start on");
     }
     tracing::info!(grace = ?new.grace, revocation = ?new.revocation_bound, retry_ratio = new.retry_ratio, "settings reloaded");
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -21,7 +21,7 @@
 use crate::route::Route;
 
 /// The time that a caller waits who doesn't say, unless the route is shorter.
-const PATIENCE: Duration = Duration::from_mins(1);
+const DEFAULT_TIME_BUDGET: Duration = Duration::from_mins(1);
 /// The least urgent value that endpoints take.
 const URGENCY_MAX: u32 = 9;
 /// How many ranks of routes fit into one rank of an organisation.
@@ -41,12 +41,12 @@
 
 /// What a request's head led to, before its body is read.
 #[derive(Debug)]
-pub(crate) struct Judged {
+pub(crate) struct Resolved {
     pub(crate) route: Route,
     pub(crate) service: String,
     pub(crate) organisation: Option<Organisation>,
     /// The regions whose endpoints may get it, `None` for all.
-    pub(crate) homes: Option<Vec<String>>,
+    pub(crate) allowed_regions: Option<Vec<String>>,
 }
 
 /// A caller's request, read whole and judged.
@@ -58,27 +58,27 @@
     pub(crate) body: Bytes,
     /// The memory that it takes up.
     #[expect(dead_code, reason = "it is free again once the call is dropped")]
-    pub(crate) room: Reservation,
+    pub(crate) reservation: Reservation,
     pub(crate) head: Head,
-    pub(crate) judged: Judged,
+    pub(crate) resolved: Resolved,
     /// Whether the caller was refused before.
     pub(crate) has_returned: bool,
     pub(crate) version: u64,
     pub(crate) arrived: Instant,
     /// When the final answer is due.
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
     /// Worked out only when it is asked for.
-    pub(crate) digest: OnceCell<Fingerprint>,
+    pub(crate) fingerprint: OnceCell<Fingerprint>,
 }
 
 /// Finds the route and the organisation of a request.
-pub(crate) fn judge(
+pub(crate) fn resolve(
     configuration: &Rc<Configuration>,
     host: Option<&str>,
     path: &str,
     head: &Head,
     draw: u32,
-) -> Result<Judged, Refusal> {
+) -> Result<Resolved, Refusal> {
     let host = host.ok_or(Refusal::Malformed)?;
     let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
     let route = configuration.route(host, path).ok_or(Refusal::NoRoute)?;
@@ -89,8 +89,8 @@
     };
     let service = route.service(draw).ok_or(Refusal::NoRoute)?;
     let bound = organisation.map_or_else(Vec::new, |o| o.homes.clone());
-    Ok(Judged {
-        homes: both(&route.allowed_regions, &bound),
+    Ok(Resolved {
+        allowed_regions: intersect(&route.allowed_regions, &bound),
         service: service.to_owned(),
         organisation: organisation.cloned(),
         route: route.clone(),
@@ -99,7 +99,7 @@
 
 /// Returns the regions that both a route and an organisation allow, each of which allows all
 /// if it names none; `None` for all.
-fn both(route: &[String], organisation: &[String]) -> Option<Vec<String>> {
+fn intersect(route: &[String], organisation: &[String]) -> Option<Vec<String>> {
     match (route.is_empty(), organisation.is_empty()) {
         (true, true) => None,
         (true, false) => Some(organisation.to_vec()),
@@ -112,7 +112,7 @@
 }
 
 /// Drops the headers that concern one connection only.
-pub(crate) fn strip(headers: &mut HeaderMap) {
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<_> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -131,16 +131,20 @@
 impl Call {
     /// Returns when the final answer of a request that arrived at `arrived`
     /// is due.
-    pub(crate) fn due(route: &Route, head: &Head, arrived: Instant) -> Instant {
-        arrived + head.time_budget.unwrap_or(PATIENCE).min(route.timeout)
+    pub(crate) fn deadline_of(route: &Route, head: &Head, arrived: Instant) -> Instant {
+        arrived
+            + head
+                .time_budget
+                .unwrap_or(DEFAULT_TIME_BUDGET)
+                .min(route.timeout)
     }
 
     /// Returns what other attempts of this request have in common with it.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
-        *self.digest.get_or_init(|| {
+        *self.fingerprint.get_or_init(|| {
             let host = self.headers.get(header::HOST);
             Fingerprint::of(&content::Parts {
-                organisation: self.judged.organisation.as_ref().map(|o| o.name.as_str()),
+                organisation: self.resolved.organisation.as_ref().map(|o| o.name.as_str()),
                 method: &self.method,
                 host: host.map(http::HeaderValue::as_bytes).unwrap_or_default(),
                 target: self.target.as_str(),
@@ -164,8 +168,8 @@
     /// Returns the urgency that endpoints are told: the organisation's rank
     /// goes before the route's.
     fn urgency(&self) -> u8 {
-        let route = self.judged.route.priority.min(URGENCY_STEP - 1);
-        let organisation = self.judged.organisation.as_ref().and_then(|o| o.priority);
+        let route = self.resolved.route.priority.min(URGENCY_STEP - 1);
+        let organisation = self.resolved.organisation.as_ref().and_then(|o| o.priority);
         let urgency = organisation.unwrap_or(1).saturating_mul(URGENCY_STEP) + route;
         u8::try_from(urgency.min(URGENCY_MAX)).unwrap_or(u8::MAX)
     }
@@ -180,10 +184,10 @@
         let mut headers = self.headers.clone();
         let hop = Hop {
             endpoint: &endpoint.instance,
-            organisation: self.judged.organisation.as_ref().map(|o| o.name.as_str()),
-            time_left: Some(self.until.saturating_duration_since(now)),
+            organisation: self.resolved.organisation.as_ref().map(|o| o.name.as_str()),
+            time_left: Some(self.deadline.saturating_duration_since(now)),
             last_event,
-            urgency: self.judged.route.streaming.then(|| self.urgency()),
+            urgency: self.resolved.route.streaming.then(|| self.urgency()),
         };
         D::forward(&mut headers, &hop);
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -10,14 +10,14 @@
 use cactusnotch_telemetry::metric;
 
 use crate::admission::Forecast;
-use crate::crash::Cut;
+use crate::crash::BrokenRun;
 use crate::journal::millis;
 use crate::knowledge::Knowledge;
 
 /// How long after its first piece a run has shown that it does no harm: two passes of the
 /// longest that streams on time allow. Endpoints that a request ends do so 50 ms after they
 /// begin to run it.
-const HARMLESS: Duration = Duration::from_millis(250);
+const HARMLESS_AFTER: Duration = Duration::from_millis(250);
 
 /// An endpoint that holds the request, counted there until it is dropped.
 #[derive(Debug)]
@@ -65,13 +65,13 @@
 
     /// Returns what there is to be examined when the connection of this run has broken: had
     /// it given something for a while, it would not be what ends its endpoint.
-    pub(crate) fn cut(&self, now: Instant) -> Option<Cut> {
+    pub(crate) fn broken_run(&self, now: Instant) -> Option<BrokenRun> {
         let sent = self.sent?;
         let given = self.first.map(|first| sent + first);
-        if given.is_some_and(|given| now.saturating_duration_since(given) > HARMLESS) {
+        if given.is_some_and(|given| now.saturating_duration_since(given) > HARMLESS_AFTER) {
             return None;
         }
-        Some(Cut {
+        Some(BrokenRun {
             endpoint: self.endpoint().as_str().to_owned(),
             address: self.address,
             sent,
@@ -86,16 +86,16 @@
         tracing::info!(
             id = self.id,
             endpoint = self.endpoint().as_str(),
-            fill = self.forecast.fill,
-            pass_ms = self.forecast.pass.map(millis),
-            wait_ms = millis(self.forecast.wait),
-            forecast_ms = millis(self.forecast.first),
+            fill = self.forecast.utilisation,
+            pass_ms = self.forecast.pass_time.map(millis),
+            wait_ms = millis(self.forecast.slot_wait),
+            forecast_ms = millis(self.forecast.first_event),
             first_ms = self.first.map(millis),
             ms = millis(now.saturating_duration_since(sent)),
             "send ended"
         );
         if let Some(first) = self.first {
-            let error = first.abs_diff(self.forecast.first);
+            let error = first.abs_diff(self.forecast.first_event);
             metrics::histogram!(metric::GATEWAY_FORECAST_ERROR).record(error);
         }
     }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -24,7 +24,7 @@
 
 /// How long callers keep a list of addresses: short, so that they leave a
 /// stopping entry soon, yet their questions stay few.
-const LIST_TIME: Duration = Duration::from_secs(1);
+const ADDRESS_TTL: Duration = Duration::from_secs(1);
 /// The pause after a connection could not be accepted, for want of
 /// descriptors as a rule.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -102,11 +102,11 @@
 
 /// Returns the regions whose entries a caller may be sent to, `None` for all: those of the
 /// host's routes, if any is bound to some, and the caller's own.
-fn homes(knowledge: &Knowledge, query: &AddressQuery) -> Option<Vec<String>> {
+fn entry_regions(knowledge: &Knowledge, query: &AddressQuery) -> Option<Vec<String>> {
     let configuration = knowledge.configuration()?;
-    let homes = configuration.homes(query.host.as_deref()?)?;
-    let homes = homes.into_iter().chain(query.region.as_deref());
-    Some(homes.map(str::to_owned).collect())
+    let regions = configuration.homes(query.host.as_deref()?)?;
+    let regions = regions.into_iter().chain(query.region.as_deref());
+    Some(regions.map(str::to_owned).collect())
 }
 
 fn answer_query<D: Dialect>(
@@ -131,16 +131,16 @@
     };
     let options = knowledge.options();
     let serving = knowledge.stopping.get().is_none() && knowledge.configuration().is_some();
-    let homes = homes(knowledge, &query);
-    let is_home = |data_centre: &str| {
-        let regions = homes.as_ref();
-        regions.is_none_or(|homes| options.regions.are_home(homes, data_centre))
+    let regions = entry_regions(knowledge, &query);
+    let is_allowed = |data_centre: &str| {
+        let regions = regions.as_ref();
+        regions.is_none_or(|regions| options.regions.are_home(regions, data_centre))
     };
-    let own_is_home = is_home(&options.data_centre);
-    let ready = (knowledge.ready(now) && own_is_home).then_some(options.listen);
+    let own_is_allowed = is_allowed(&options.data_centre);
+    let ready = (knowledge.ready(now) && own_is_allowed).then_some(options.listen);
     let peers = knowledge.peers.borrow();
-    let mut list = peers.list_within(query.data_centre.as_deref(), ready, is_home, now);
-    if list.is_empty() && serving && own_is_home {
+    let mut list = peers.list_within(query.data_centre.as_deref(), ready, is_allowed, now);
+    if list.is_empty() && serving && own_is_allowed {
         // While the store is away no entry is ready, and each still serves
         // what needs no fresh proof.
         list.push(options.listen);
@@ -148,7 +148,7 @@
     if list.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let body = D::addresses(&list, LIST_TIME.min(options.address_ttl_max));
+    let body = D::addresses(&list, ADDRESS_TTL.min(options.address_ttl_max));
     let mut response = Response::new(Full::new(body));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -16,11 +16,11 @@
 /// How long requests are still taken after a stop was asked for: some callers
 /// keep a list of addresses three times as long as it says. Later ones are
 /// refused, since they might not end in time.
-const FAREWELL: Duration = Duration::from_secs(3);
+const ACCEPT_TIME: Duration = Duration::from_secs(3);
 /// What is kept free at the end of the time for a stop.
 const END_MARGIN: Duration = Duration::from_millis(500);
 /// How often a stopping entry looks whether its last request has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Waits for the signal to stop, and then until the process may end.
 ///
@@ -44,13 +44,13 @@
     tracing::info!(in_flight = knowledge.in_flight.get(), "stop asked for");
     listing::announce_stop(&knowledge, &socket);
     tokio::task::spawn_local(withdraw::<C>(Rc::clone(&knowledge)));
-    tokio::time::sleep(FAREWELL.min(options.grace / 2)).await;
+    tokio::time::sleep(ACCEPT_TIME.min(options.grace / 2)).await;
     knowledge.closing.set(true);
     closing.send_replace(true);
     let last = began + options.grace.saturating_sub(END_MARGIN);
-    tokio::time::sleep(LOOK_EVERY).await;
+    tokio::time::sleep(POLL_INTERVAL).await;
     while knowledge.in_flight.get() > 0 && clock::now() < last {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     tracing::info!(in_flight = knowledge.in_flight.get(), "stopped");
     Ok(())
--- a/crates/gateway/src/time_budget.rs
+++ b/crates/gateway/src/time_budget.rs
@@ -9,10 +9,10 @@
 /// The part of the longest wait of a route's callers below which one has spent
 /// time elsewhere before. Callers that come for the first time state at least 0.85
 /// of it; those that were refused come back after a sixth of it or more.
-const RETURNED_PART: f64 = 0.84;
+const RETURNED_RATIO: f64 = 0.84;
 /// What is kept of the longest wait with each request, so that callers who state
 /// less than former ones are known for first attempts after some hundred.
-const KEPT: f64 = 0.9995;
+const DECAY: f64 = 0.9995;
 
 /// How long the callers of each route wait, by what they state.
 #[derive(Debug, Default)]
@@ -37,7 +37,7 @@
         let longest = self
             .longest
             .get_or_insert_with(route.to_owned(), Duration::default);
-        *longest = longest.mul_f64(KEPT).max(stated);
-        stated < longest.mul_f64(RETURNED_PART)
+        *longest = longest.mul_f64(DECAY).max(stated);
+        stated < longest.mul_f64(RETURNED_RATIO)
     }
 }
--- a/crates/gateway/src/wake.rs
+++ b/crates/gateway/src/wake.rs
@@ -14,21 +14,21 @@
 
 /// The sleep from which on a host counts as suspended: more than the time that clocks read
 /// one after the other are apart, and less than matters to any bound here.
-const LEAST: Duration = Duration::from_millis(100);
+const SUSPENSION_MIN: Duration = Duration::from_millis(100);
 
 /// Notices that the host has slept.
 #[derive(Debug)]
 pub struct SuspendDetector {
     /// What the clock and the runtime's timers showed when they were last compared.
-    seen: Cell<(Instant, tokio::time::Instant)>,
-    slept: Notify,
+    last_reading: Cell<(Instant, tokio::time::Instant)>,
+    suspended: Notify,
 }
 
 impl Default for SuspendDetector {
     fn default() -> Self {
         Self {
-            seen: Cell::new(read()),
-            slept: Notify::new(),
+            last_reading: Cell::new(read()),
+            suspended: Notify::new(),
         }
     }
 }
@@ -38,28 +38,28 @@
     /// that was done last.
     pub fn check(&self) -> bool {
         let (clock, timers) = read();
-        let (clock_before, timers_before) = self.seen.replace((clock, timers));
+        let (clock_before, timers_before) = self.last_reading.replace((clock, timers));
         let passed = clock.saturating_duration_since(clock_before);
-        let slept = passed.saturating_sub(timers.saturating_duration_since(timers_before));
-        if slept < LEAST {
+        let suspended = passed.saturating_sub(timers.saturating_duration_since(timers_before));
+        if suspended < SUSPENSION_MIN {
             return false;
         }
-        tracing::warn!(ms = millis(slept), "host was asleep");
+        tracing::warn!(ms = millis(suspended), "host was asleep");
         metrics::counter!(metric::HOST_SLEEPS).increment(1);
-        self.slept.notify_waiters();
+        self.suspended.notify_waiters();
         true
     }
 
     /// Waits until `moment`.
     pub async fn wait_until(&self, moment: Instant) {
         loop {
-            let slept = self.slept.notified();
+            let suspended = self.suspended.notified();
             let left = moment.left();
             if left.is_zero() {
                 return;
             }
             tokio::select! {
-                () = slept => {}
+                () = suspended => {}
                 () = tokio::time::sleep(left) => {}
             }
         }
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -10,22 +10,22 @@
 
 use cactusnotch_gateway::admission::{Caller, Forecast, RETURNED_WAIT, Targets, admits};
 
-const TERMS: Targets = Targets {
-    target: Duration::from_millis(400),
-    pause: Some(Duration::from_millis(120)),
+const TARGETS: Targets = Targets {
+    first_event: Duration::from_millis(400),
+    max_event_gap: Some(Duration::from_millis(120)),
 };
 const FREE: Forecast = Forecast {
     full: false,
-    fill: 40,
-    wait: Duration::ZERO,
-    first: Duration::from_millis(170),
-    pass: Some(Duration::from_millis(60)),
+    utilisation: 40,
+    slot_wait: Duration::ZERO,
+    first_event: Duration::from_millis(170),
+    pass_time: Some(Duration::from_millis(60)),
 };
 const FULL: Forecast = Forecast {
     full: true,
-    fill: 108,
-    wait: Duration::from_millis(180),
-    first: Duration::from_millis(350),
+    utilisation: 108,
+    slot_wait: Duration::from_millis(180),
+    first_event: Duration::from_millis(350),
     ..FREE
 };
 /// A draw that no chance to be refused is above.
@@ -40,60 +40,66 @@
 #[test]
 fn all_are_let_in_while_there_is_room() {
     for caller in [Caller::First, returned(0)] {
-        assert!(admits(caller, &FREE, &TERMS, 0.0));
+        assert!(admits(caller, &FREE, &TARGETS, 0.0));
     }
 }
 
 #[test]
 fn a_first_attempt_waits_for_a_slot_if_it_will_be_on_time() {
-    assert!(admits(Caller::First, &FULL, &TERMS, LUCKY));
+    assert!(admits(Caller::First, &FULL, &TARGETS, LUCKY));
     let late = Forecast {
-        first: Duration::from_millis(390),
+        first_event: Duration::from_millis(390),
         ..FULL
     };
-    assert!(!admits(Caller::First, &late, &TERMS, LUCKY));
+    assert!(!admits(Caller::First, &late, &TARGETS, LUCKY));
 }
 
 #[test]
 fn a_returned_caller_leaves_full_endpoints_to_first_attempts() {
-    assert!(!admits(returned(0), &FULL, &TERMS, LUCKY));
-    assert!(!admits(returned(1_000), &FULL, &TERMS, LUCKY));
+    assert!(!admits(returned(0), &FULL, &TARGETS, LUCKY));
+    assert!(!admits(returned(1_000), &FULL, &TARGETS, LUCKY));
 }
 
 #[test]
 fn a_returned_caller_accepts_fuller_endpoints_the_longer_it_has_waited() {
-    let at = |fill| Forecast { fill, ..FREE };
-    assert!(!admits(returned(0), &at(60), &TERMS, LUCKY));
-    assert!(admits(returned(500), &at(60), &TERMS, LUCKY));
-    assert!(!admits(returned(500), &at(70), &TERMS, LUCKY));
+    let at = |utilisation| Forecast {
+        utilisation,
+        ..FREE
+    };
+    assert!(!admits(returned(0), &at(60), &TARGETS, LUCKY));
+    assert!(admits(returned(500), &at(60), &TARGETS, LUCKY));
+    assert!(!admits(returned(500), &at(70), &TARGETS, LUCKY));
     let waited = u64::try_from(RETURNED_WAIT.as_millis()).expect("a second");
-    assert!(admits(returned(waited), &at(75), &TERMS, LUCKY));
+    assert!(admits(returned(waited), &at(75), &TARGETS, LUCKY));
 }
 
 #[test]
 fn long_passes_keep_both_out() {
     let long = Forecast {
-        pass: Some(Duration::from_millis(140)),
+        pass_time: Some(Duration::from_millis(140)),
         ..FREE
     };
     for caller in [Caller::First, returned(0)] {
-        assert!(!admits(caller, &long, &TERMS, 0.99));
+        assert!(!admits(caller, &long, &TARGETS, 0.99));
     }
     // Half way between the bounds half of them are kept out.
     let pressing = Forecast {
-        pass: Some(Duration::from_millis(108)),
+        pass_time: Some(Duration::from_millis(108)),
         ..FREE
     };
-    assert!(!admits(Caller::First, &pressing, &TERMS, 0.4));
-    assert!(admits(Caller::First, &pressing, &TERMS, 0.6));
+    assert!(!admits(Caller::First, &pressing, &TARGETS, 0.4));
+    assert!(admits(Caller::First, &pressing, &TARGETS, 0.6));
 }
 
 #[test]
 fn a_plain_request_has_no_passes() {
     let plain = Targets {
-        pause: None,
-        ..TERMS
+        max_event_gap: None,
+        ..TARGETS
+    };
+    let forecast = Forecast {
+        pass_time: None,
+        ..FREE
     };
-    let forecast = Forecast { pass: None, ..FREE };
     assert!(admits(Caller::First, &forecast, &plain, 0.0));
 }
--- a/crates/gateway/tests/decisions.rs
+++ b/crates/gateway/tests/decisions.rs
@@ -33,9 +33,9 @@
             match lifecycle.after_failure(failure, || affordable) {
                 Next::Give(refusal) => check(&history, refusal),
                 Next::Repeat => {
-                    let doubt = history.contains(&Failure::Uncertain);
+                    let uncertain = history.contains(&Failure::Uncertain);
                     assert!(
-                        !(doubt && repeat == RetryPolicy::Never),
+                        !(uncertain && repeat == RetryPolicy::Never),
                         "sent again after {history:?}"
                     );
                     assert!(affordable);
@@ -59,10 +59,10 @@
     ] {
         for attempts in 1..4 {
             walk(repeat, attempts, true, &|history, refusal| {
-                let doubt = history.contains(&Failure::Uncertain);
+                let uncertain = history.contains(&Failure::Uncertain);
                 assert_eq!(
-                    refusal.may_come_back(),
-                    !doubt,
+                    refusal.is_retryable(),
+                    !uncertain,
                     "{repeat:?}: {history:?} ends in {refusal}"
                 );
             });
@@ -84,7 +84,7 @@
 #[test]
 fn a_deadline_promises_nothing_while_an_endpoint_may_be_at_work() {
     let mut lifecycle = Lifecycle::new(RetryPolicy::Never, 1);
-    assert!(lifecycle.timed_out(false).may_come_back());
+    assert!(lifecycle.timed_out(false).is_retryable());
     lifecycle.record_send();
-    assert!(!lifecycle.timed_out(true).may_come_back());
+    assert!(!lifecycle.timed_out(true).is_retryable());
 }
--- a/crates/gateway/tests/events.rs
+++ b/crates/gateway/tests/events.rs
@@ -1,7 +1,7 @@
 //! Streams are cut after whole events, however their bytes arrive.
 
 use bytes::Bytes;
-use cactusnotch_gateway::events::Events;
+use cactusnotch_gateway::events::Splitter;
 use proptest::prelude::*;
 
 fn stream(events: u64) -> Vec<u8> {
@@ -23,7 +23,7 @@
         let sent = stream(events);
         let mut rest = sent.as_slice();
         let mut cuts = cuts.into_iter().cycle();
-        let mut boundaries = Events::new(None);
+        let mut boundaries = Splitter::new(None);
         let mut passed = Vec::new();
         while !rest.is_empty() {
             let (piece, after) = rest.split_at(cuts.next().unwrap_or(1).min(rest.len()));
@@ -44,7 +44,7 @@
     ) {
         let sent = stream(events);
         let cut = cut.min(sent.len());
-        let mut boundaries = Events::new(None);
+        let mut boundaries = Splitter::new(None);
         let mut passed = boundaries.push(&Bytes::copy_from_slice(&sent[..cut])).to_vec();
         boundaries.drop_partial();
         let last = boundaries.last().unwrap_or(0);
@@ -56,12 +56,12 @@
 
 #[test]
 fn a_stream_that_is_resumed_begins_at_the_callers_last_event() {
-    assert_eq!(Events::new(Some(12)).last(), Some(12));
+    assert_eq!(Splitter::new(Some(12)).last(), Some(12));
 }
 
 #[test]
 fn lines_may_end_in_a_carriage_return() {
-    let mut events = Events::new(None);
+    let mut events = Splitter::new(None);
     let whole = events.push(&Bytes::from_static(b"id: 4\r\ndata: a\r\n\r\nid: 5\r\n"));
     assert_eq!(&whole[..], b"id: 4\r\ndata: a\r\n\r\n");
     assert_eq!(events.last(), Some(4));
