--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -1,4 +1,4 @@
-//! The lines that explain how requests ended.
+//! Log lines and metrics for the outcome of requests.
 
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_base::name;
@@ -9,7 +9,7 @@
 use crate::refusal::Refusal;
 use crate::request::Call;
 
-/// Writes the line that explains how a request ended.
+/// Logs the outcome of a request that an endpoint was sought for.
 pub(crate) fn log_ended(
     knowledge: &Knowledge,
     call: &Call,
@@ -40,7 +40,7 @@
         .record(now.saturating_duration_since(call.arrived));
 }
 
-/// Writes the line that explains why a request was refused before an endpoint was chosen.
+/// Logs why a request was refused before an endpoint was selected.
 pub(crate) fn log_refused(
     knowledge: &Knowledge,
     id: Option<&str>,
--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -1,65 +1,65 @@
-//! Which streams are let in while capacity is short.
+//! Load shedding: decides which requests are admitted while capacity is short.
 
 use std::time::Duration;
 
-/// The part of the longest pause on time from which passes let some streams
-/// in no more, and the one from which they let none in. One pass in some takes
-/// a quarter longer than the usual, and one pause too long makes a whole stream
-/// late.
+/// Ratios of a forward pass's time to the longest event gap that is still on time.
+/// Above the first, some streams are shed; from the second on, all are. Some passes
+/// take a quarter longer than usual, and a single gap that is too long makes the whole
+/// stream late.
 const PASS_RATIO_SHED_SOME: f64 = 0.7;
 const PASS_RATIO_SHED_ALL: f64 = 1.1;
-/// The part of a route's target that the first event of a first attempt may be
-/// predicted to take: one that comes later makes the whole answer late, and the
-/// slot is worth more to the next caller.
+/// The longest predicted time to the first event at which a first attempt is admitted,
+/// as a fraction of the route's target. A later first event makes the whole response
+/// late, and the slot is worth more to the next caller.
 const FIRST_EVENT_RATIO_MAX: f64 = 0.9;
 
-/// How full an endpoint may be for a caller that was refused before, in hundredths
-/// of its slots, when it comes and at the end of its wait: what entries believe is a
-/// quarter of a second old, and several of them see the same free slots.
+/// The highest utilisation, in hundredths of an endpoint's slots, at which a returning
+/// caller is admitted: on arrival, and at the end of its wait. Entries see loads that
+/// are up to a quarter of a second old, and several entries see the same free slots.
 const RETURNED_UTILISATION: f64 = 50.0;
 const RETURNED_UTILISATION_LAST: f64 = 75.0;
-/// How long a caller that was refused before waits for room: another refusal loses
-/// it, and it gives up after two seconds without an event.
+/// How long a returning caller waits for a free slot. A caller that is refused again is
+/// lost, and callers give up after two seconds without an event.
 pub const RETURNED_WAIT: Duration = Duration::from_secs(1);
 
-/// Whether a caller comes for the first time or was refused before.
+/// Whether a request is a caller's first attempt or a retry after a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Caller {
-    /// It comes for the first time.
+    /// A first attempt.
     First,
-    /// It was refused before, and has waited here for so long.
+    /// A retry after a refusal.
     Returned {
-        /// The time since it came.
+        /// How long this attempt has waited at this entry.
         waited: Duration,
     },
 }
 
-/// What a stream has to expect at the endpoint that was chosen for it.
+/// The predicted service of a request at the endpoint selected for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Forecast {
-    /// Whether all endpoints that could take it are full.
+    /// Whether all eligible endpoints are full.
     pub full: bool,
-    /// The requests that are believed there, in hundredths of its slots.
+    /// The estimated utilisation of the endpoint, in hundredths of its slots.
     pub utilisation: u32,
-    /// The time until it has a slot.
+    /// The time until the request gets a slot.
     pub slot_wait: Duration,
-    /// The time until its first event.
+    /// The time until the first event.
     pub first_event: Duration,
-    /// How long passes of the endpoint's group take, if that is known.
+    /// The duration of a forward pass in the endpoint's group, if known.
     pub pass_time: Option<Duration>,
 }
 
-/// What a route's callers accept.
+/// The latencies that a route's callers accept.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Targets {
-    /// The time within which the first event should come.
+    /// The target for the time until the first event.
     pub first_event: Duration,
-    /// The longest pause between events of a stream that is still on time.
+    /// The longest gap between events of a stream that is still on time.
     pub max_event_gap: Option<Duration>,
 }
 
-/// Tells whether a request is let in; `draw`, from 0 to 1, spreads the answer
-/// while passes get long.
+/// Returns whether a request is admitted. `draw`, a random number from 0 to 1, admits a
+/// fraction of the requests while forward passes approach the limit.
 #[must_use]
 pub fn admits(caller: Caller, forecast: &Forecast, targets: &Targets, draw: f64) -> bool {
     match caller {
@@ -68,7 +68,8 @@
                 && forecast.first_event > targets.first_event.mul_f64(FIRST_EVENT_RATIO_MAX);
             !late && !sheds_for_pass_time(forecast, targets, draw)
         }
-        // It can't be on time any more: it takes what first attempts leave.
+        // A returning caller can no longer be on time: it only gets capacity that first
+        // attempts leave free.
         Caller::Returned { waited } => {
             let part = waited.div_duration_f64(RETURNED_WAIT).min(1.0);
             let most =
@@ -78,8 +79,8 @@
     }
 }
 
-/// Decides whether a stream is refused so that passes stay short for those that
-/// run: one more would make all of them late.
+/// Returns whether a stream is shed to keep forward passes short: one more stream would
+/// delay all those that are running.
 fn sheds_for_pass_time(forecast: &Forecast, targets: &Targets, draw: f64) -> bool {
     let Some((pass, pause)) = forecast.pass_time.zip(targets.max_event_gap) else {
         return false;
--- a/crates/gateway/src/answer.rs
+++ b/crates/gateway/src/answer.rs
@@ -1,25 +1,25 @@
-//! Answers of endpoints that are read whole before they are passed on.
+//! Buffers endpoints' responses before they are relayed.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 
-/// Up to this size an answer is read whole, so that a spoilt one can still be
-/// replaced; longer ones are passed on as they come. Plain answers here have a
-/// few kilobytes.
+/// Responses up to this size are buffered, which allows a retry if they turn
+/// out incomplete. Longer ones are streamed. Plain responses have a few
+/// kilobytes.
 const BUFFERED_MAX: usize = 64 * 1024;
 
-/// What was read of an answer.
+/// The result of buffering a response.
 pub(crate) enum Read {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Its beginning; more is to come.
+    /// The start of a body that is too long to buffer.
     Prefix(Bytes),
-    /// It broke off.
+    /// The connection failed before the end of the body.
     Broken(hyper::Error),
 }
 
-/// Reads an answer whole unless it is long.
+/// Reads a response up to [`BUFFERED_MAX`] bytes.
 pub(crate) async fn read(body: &mut Incoming) -> Read {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
--- a/crates/gateway/src/body.rs
+++ b/crates/gateway/src/body.rs
@@ -1,4 +1,4 @@
-//! The body of an answer on its way to a caller.
+//! The body of a response to a caller.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -10,8 +10,8 @@
 
 use crate::pieces;
 
-/// The answer can't be completed. The connection is then cut, so that the
-/// answer does not look whole.
+/// The response can't be completed. The connection is then closed, which lets
+/// the caller detect that the response is truncated.
 #[derive(Debug, Clone, Copy, Display, Error)]
 #[display("the answer broke off")]
 pub(crate) struct Truncated;
@@ -22,12 +22,13 @@
     }
 }
 
-/// The body of an answer on its way to a caller.
+/// The body of a response to a caller.
 #[derive(Debug)]
 pub(crate) enum Outgoing {
-    /// All of it.
+    /// A complete body.
     Whole(Option<Bytes>),
-    /// Pieces as they come; `left` is the stated length that is still due.
+    /// Pieces that are relayed as they arrive; `remaining` is the part of the
+    /// stated content length that has not been sent yet.
     Pieces {
         receiver: pieces::Receiver,
         remaining: Option<u64>,
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -1,4 +1,4 @@
-//! How many repeated sends an entry may make.
+//! The budget of an entry for retries.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,18 +6,18 @@
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::Instant;
 
-/// The parts into which the window is divided.
+/// The number of parts into which the window is divided.
 const PARTS: u32 = 10;
 
-/// The sends of one service within the window.
+/// The requests and retries of one service within the window.
 #[derive(Debug, Default)]
 struct Window {
-    /// The start of each part with its first and its repeated sends.
+    /// The start of each part, with its number of requests and of retries.
     parts: VecDeque<(Instant, u32, u32)>,
 }
 
 impl Window {
-    /// Drops the parts that are too old and opens a new one if it is time.
+    /// Drops expired parts and starts a new one when the last part has ended.
     fn rotate(&mut self, now: Instant, window: Duration) {
         let length = window / PARTS;
         let age = |at: Instant| now.saturating_duration_since(at);
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Returns the first sends that were surely within the window, and the
-    /// repeated ones that may have been.
+    /// Returns the requests that are certainly within the window, and the
+    /// retries that may be.
     fn sums(&self, now: Instant, window: Duration) -> (u32, u32) {
         let within = |at: Instant| now.saturating_duration_since(at) <= window;
         self.parts
@@ -45,23 +45,24 @@
     }
 }
 
-/// The repeated sends of an entry, by service.
+/// The retry budgets of an entry, by service.
 ///
-/// In any window an entry repeats at most `ratio` times the requests that it
-/// took itself in that window, so that the bound holds over all entries
-/// together however many there are and whatever they know of each other. The
-/// fixed allowance beyond that is divided by twice the entries that are known.
+/// In any window an entry makes at most `ratio` retries for each request that
+/// it received itself in that window. The bound thus holds over all entries
+/// together, however many there are, without any communication between them.
+/// The fixed allowance beyond the ratio is divided by twice the number of known
+/// entries.
 #[derive(Debug)]
 pub struct RetryBudgets {
     ratio: f64,
-    /// What may be repeated in a window beyond the ratio.
+    /// The retries allowed in a window beyond the ratio.
     allowance: u32,
     window: Duration,
     rows: Table<String, Window>,
 }
 
 impl RetryBudgets {
-    /// Creates a budget of `ratio` repeated sends for each request in `window`.
+    /// Creates a budget of `ratio` retries for each request in `window`.
     #[must_use]
     pub const fn new(ratio: f64, window: Duration) -> Self {
         Self {
@@ -72,13 +73,13 @@
         }
     }
 
-    /// Takes another bound.
+    /// Changes the ratio and the window.
     pub const fn configure(&mut self, ratio: f64, window: Duration) {
         self.ratio = ratio;
         self.window = window;
     }
 
-    /// Takes the part of the allowance of all entries that is this entry's.
+    /// Sets this entry's part of the allowance of all entries.
     pub const fn set_allowance(&mut self, allowance: u32) {
         self.allowance = allowance;
     }
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Tells whether a repeated send could be paid for now.
+    /// Returns whether the budget allows a retry now.
     pub fn can_retry(&mut self, service: &str, now: Instant) -> bool {
         let (ratio, window) = (self.ratio, self.window);
         let allowance = f64::from(self.allowance);
@@ -99,7 +100,7 @@
         f64::from(again + 1) <= ratio * f64::from(first) + allowance
     }
 
-    /// Pays for a repeated send; returns whether there was enough.
+    /// Charges a retry to the budget; returns whether the budget allowed it.
     pub fn try_spend(&mut self, service: &str, now: Instant) -> bool {
         if !self.can_retry(service, now) {
             return false;
--- a/crates/gateway/src/channel.rs
+++ b/crates/gateway/src/channel.rs
@@ -1,4 +1,4 @@
-//! One kept HTTP connection to an endpoint or to the platform.
+//! A persistent HTTP connection to an endpoint or to the platform.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,38 +16,38 @@
 use crate::memory::ANSWER_BYTES;
 use crate::tcp;
 
-/// Why a call got no answer.
+/// Why a call failed.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// No connection came about, so the call was not sent.
+    /// The connection could not be established; the request was not sent.
     #[display("connect to {peer}: {error}")]
     Connect {
         /// The peer.
         peer: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         error: io::Error,
     },
-    /// The call was never written to the connection.
+    /// The request was never written to the connection.
     #[display("the connection to {peer} was closed before the call was written")]
     Unsent {
         /// The peer.
         peer: SocketAddr,
     },
-    /// The call may have reached the peer.
+    /// The exchange failed; the peer may have received the request.
     #[display("call to {peer}: {error}")]
     Exchange {
         /// The peer.
         peer: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         error: hyper::Error,
     },
-    /// The peer's answer is too long.
+    /// The body of the response failed or is too long.
     #[display("the answer of {peer} could not be read")]
     Body {
         /// The peer.
         peer: SocketAddr,
     },
-    /// The answer did not come in time; the call may have been done.
+    /// The peer did not respond in time; it may have carried out the request.
     #[display("{peer} did not answer in time")]
     Timeout {
         /// The peer.
@@ -55,8 +55,8 @@
     },
 }
 
-/// One HTTP connection. It is closed when this is dropped, also in the middle
-/// of a call, which is how an endpoint learns that its caller has left.
+/// One HTTP connection. Dropping it closes the connection, even during a call;
+/// this is how an endpoint detects that its caller has disconnected.
 #[derive(Debug)]
 pub struct Channel {
     peer: SocketAddr,
@@ -80,7 +80,7 @@
             .await
             .map_err(|error| failed(io::Error::other(error)))?;
         let driver = tokio::task::spawn_local(async move {
-            // How a connection ended is told to the call that was under way.
+            // A failure of the connection is reported to the call in progress.
             let _: Result<(), hyper::Error> = connection.await;
         });
         Ok(Self {
@@ -91,31 +91,31 @@
         })
     }
 
-    /// Returns where the connection leads.
+    /// Returns the address of the peer.
     #[must_use]
     pub const fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// Tells whether another call can be made.
+    /// Returns whether the connection is idle and open.
     #[must_use]
     pub fn is_ready(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Tells whether the connection is closed.
+    /// Returns whether the connection is closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.sender.is_closed()
     }
 
-    /// Returns how many calls have been answered on this connection.
+    /// Returns the number of responses received on this connection.
     #[must_use]
     pub const fn answered(&self) -> u32 {
         self.answered
     }
 
-    /// Waits until the connection can take a call.
+    /// Waits until the connection accepts a request.
     ///
     /// # Errors
     ///
@@ -128,13 +128,13 @@
             .map_err(|_| Error::Unsent { peer })
     }
 
-    /// Sends a request and returns the head of the answer with its body to be
-    /// read.
+    /// Sends a request and returns the head of the response with its unread
+    /// body.
     ///
     /// # Errors
     ///
     /// Returns [`Error::Unsent`] if nothing was written, and
-    /// [`Error::Exchange`] if the request may have arrived.
+    /// [`Error::Exchange`] if the peer may have received the request.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -155,13 +155,13 @@
         }
     }
 
-    /// Makes a call and reads its whole answer, of at most `most` bytes,
+    /// Sends a request and reads the whole response, of at most `max_bytes`,
     /// within `limit`.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer; all but [`Error::Unsent`] leave open
-    /// whether the call was done.
+    /// Returns why there is no response. All errors but [`Error::Unsent`] leave
+    /// open whether the peer carried out the request.
     pub async fn call(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -188,6 +188,6 @@
     }
 }
 
-/// The bytes of an answer that a connection buffers at most; the least that
-/// the library takes is 8 KB, and heads here stay far below.
+/// The most bytes of a response that a connection buffers. The library's
+/// minimum is 8 KB, and response heads are far below this limit.
 const MAX_BUFFER: usize = ANSWER_BYTES as usize;
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to one peer over a connection that is opened when it is needed.
+//! An HTTP client of one peer that connects on demand.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,16 +10,16 @@
 
 use crate::channel::{Channel, Error};
 
-/// Why a call brought no body.
+/// Why a call returned no body.
 #[derive(Debug)]
 pub enum Failure {
-    /// There was no answer; the call may have been done.
+    /// There was no response; the peer may have carried out the request.
     NoAnswer(Error),
-    /// The peer refused the call.
+    /// The peer refused the request.
     Refused(StatusCode),
 }
 
-/// Calls to one peer, one after the other.
+/// A client of one peer that makes one call at a time.
 #[derive(Debug)]
 pub struct Client {
     peer: SocketAddr,
@@ -29,8 +29,8 @@
 }
 
 impl Client {
-    /// Creates a client of `peer` that connects within `connect` and reads
-    /// answers of at most `answer_max` bytes.
+    /// Creates a client of `peer` that connects within `connect_timeout` and
+    /// reads responses of at most `answer_bytes_max`.
     #[must_use]
     pub const fn new(peer: SocketAddr, connect_timeout: Duration, answer_bytes_max: usize) -> Self {
         Self {
@@ -41,12 +41,14 @@
         }
     }
 
-    /// Makes a call. The connection is kept only after a whole answer: one on
-    /// which an answer was lost may return it to the next call.
+    /// Sends a request and returns the response. The connection is kept only
+    /// after a complete response: if a response was lost, it could arrive as
+    /// the response to the next call.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer; the call may have been done.
+    /// Returns why there is no response; the peer may have carried out the
+    /// request.
     pub async fn call(
         &mut self,
         request: Request<Bytes>,
@@ -67,11 +69,11 @@
         Ok(response)
     }
 
-    /// Makes a call and returns the body of a success.
+    /// Sends a request and returns the body of a successful response.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns why there is no body.
     pub async fn fetch(
         &mut self,
         request: Request<Bytes>,
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -1,4 +1,4 @@
-//! One caller's connection.
+//! A caller's connection.
 
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -14,11 +14,11 @@
 use crate::flight;
 use crate::knowledge::Knowledge;
 
-/// The least buffer that the library takes.
+/// The smallest read buffer that the HTTP library accepts.
 const BUFFER_MIN: usize = 8 * 1024;
 
-/// Serves a caller's connection until it ends; `closing` asks for its end
-/// after the request under way.
+/// Serves a caller's connection until it closes. `closing` starts a graceful
+/// shutdown after the request in progress.
 pub(crate) async fn serve<D: Dialect>(
     knowledge: Rc<Knowledge>,
     stream: TcpStream,
--- a/crates/gateway/src/content.rs
+++ b/crates/gateway/src/content.rs
@@ -1,4 +1,4 @@
-//! What two attempts of one request have in common.
+//! Identifies the attempts of one request by a fingerprint of its content.
 
 use std::fmt;
 
@@ -6,33 +6,34 @@
 use http::Method;
 use sha2::{Digest, Sha256};
 
-/// The bytes of the digest that are kept: two requests of a day's hundred million agree in
-/// them by chance once in 10^22 days.
+/// The length of the fingerprint in bytes. With a hundred million requests a day, two of
+/// them collide by chance once in 10^22 days.
 const LENGTH: usize = 16;
 
-/// A digest of a request's caller, method, target and body. An attempt's id is new each
-/// time a caller comes back; this stays, at any entry.
+/// A digest of a request's organisation, method, host, target and body. The id of an
+/// attempt changes with each retry; the fingerprint is the same for all attempts at all
+/// entries.
 #[number]
 pub struct Fingerprint([u8; LENGTH]);
 
-/// The parts of a request that stay the same over its attempts.
+/// The parts of a request that are the same for all its attempts.
 #[derive(Debug, Clone, Copy)]
 pub struct Parts<'a> {
-    /// The organisation that sends it, if its route needs one.
+    /// The organisation of the caller, if the route requires one.
     pub organisation: Option<&'a str>,
     /// The method.
     pub method: &'a Method,
-    /// The host that it asks for.
+    /// The `Host` header.
     pub host: &'a [u8],
     /// The path and the query.
     pub target: &'a str,
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
 impl Fingerprint {
-    /// Returns the digest of `parts`. It can't be chosen, so that no caller can have its
-    /// request taken for another's.
+    /// Returns the fingerprint of `parts`. The cryptographic hash prevents a caller from
+    /// forging a request that matches another caller's fingerprint.
     #[must_use]
     pub fn of(parts: &Parts<'_>) -> Self {
         let Parts {
@@ -46,7 +47,7 @@
         hash.update([u8::from(organisation.is_some())]);
         let named = organisation.unwrap_or_default().as_bytes();
         for part in [named, method.as_str().as_bytes(), host, target.as_bytes()] {
-            // With its length, so that parts can't be moved from one to the next.
+            // The length prefix prevents ambiguity between adjacent parts.
             hash.update(part.len().to_be_bytes());
             hash.update(part);
         }
@@ -56,7 +57,7 @@
         Self(kept)
     }
 
-    /// Reads what [`fmt::Display`] has written.
+    /// Parses the output of [`fmt::Display`].
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         if text.len() != 2 * LENGTH || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -1,4 +1,4 @@
-//! Finds out whether an endpoint has ended under a request.
+//! Detects crashes of endpoints during requests.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -14,11 +14,12 @@
 use crate::request::Call;
 use crate::tcp;
 
-/// How long an endpoint is asked for a connection. A host without a process refuses it
-/// within a round trip; one that is silent tells nothing.
+/// The timeout of the connection attempt that probes an endpoint. A host without the
+/// process refuses the connection within a round trip; a host that doesn't respond
+/// leaves it open.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A run whose connection broke before it had given anything.
+/// A run whose connection failed before the endpoint had sent anything.
 #[derive(Debug)]
 pub(crate) struct BrokenRun {
     pub(crate) endpoint: String,
@@ -26,13 +27,13 @@
     pub(crate) sent: Instant,
 }
 
-/// Finds out whether the endpoint has ended, as opposed to its connection, and remembers
-/// that of the request. Its caller may leave meanwhile.
+/// Probes whether the endpoint crashed or only the connection failed, and records a
+/// crash for the request. The probe continues if the caller disconnects meanwhile.
 pub(crate) async fn probe(knowledge: &Rc<Knowledge>, call: &Call, broken_run: BrokenRun) {
     let (knowledge, content) = (Rc::clone(knowledge), call.fingerprint());
     let probed = tokio::task::spawn_local(probe_endpoint(knowledge, content, broken_run));
     if let Err(error) = probed.await {
-        tracing::error!(%content, %error, "an endpoint's end was not examined");
+        tracing::error!(%content, %error, "crash probe failed");
     }
 }
 
@@ -43,7 +44,7 @@
     };
     if error.kind() != ErrorKind::ConnectionRefused {
         let endpoint = broken_run.endpoint;
-        tracing::info!(%content, endpoint, %error, "whether the endpoint has ended is open");
+        tracing::info!(%content, endpoint, %error, "endpoint unreachable, crash not confirmed");
         return;
     }
     metrics::counter!(metric::GATEWAY_CRASHES).increment(1);
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -1,13 +1,13 @@
-//! What follows when an endpoint did not answer a request.
+//! Decides how to continue after an endpoint failed to answer a request.
 
 use crate::refusal::Refusal;
 use crate::route::RetryPolicy;
 
-/// The most endpoints in a row that may be out of reach before a request is
-/// given back; none of them has seen it.
+/// The most consecutive unreachable endpoints before the request is refused; none of
+/// them has received it.
 const UNREACHABLE_MAX: u32 = 3;
 
-/// Why an endpoint did not answer.
+/// Why an endpoint gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// The request was never written to a connection.
@@ -18,18 +18,18 @@
     Uncertain,
 }
 
-/// What to do next.
+/// The next step of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Send it to another endpoint; this is a repeated send.
+    /// Send it to another endpoint; this counts as a retry.
     Repeat,
-    /// Send it to another endpoint; the first has not seen it.
+    /// Send it to another endpoint; the first one has not received it.
     Redirect,
-    /// Answer the caller.
+    /// Respond to the caller.
     Give(Refusal),
 }
 
-/// The course of one request over endpoints.
+/// The lifecycle of one request over its attempts at endpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct Lifecycle {
     retry_policy: RetryPolicy,
@@ -40,7 +40,7 @@
 }
 
 impl Lifecycle {
-    /// Creates the course of a request that may be sent to `attempts` endpoints.
+    /// Creates the lifecycle of a request that may be sent to `max_attempts` endpoints.
     #[must_use]
     pub const fn new(retry_policy: RetryPolicy, max_attempts: u32) -> Self {
         Self {
@@ -52,25 +52,25 @@
         }
     }
 
-    /// Returns how many endpoints the request was sent to.
+    /// Returns the number of endpoints that the request was sent to.
     #[must_use]
     pub const fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Tells whether it may be sent to another endpoint.
+    /// Returns whether the request may be sent to another endpoint.
     #[must_use]
     pub const fn may_retry(&self) -> bool {
         self.sent < self.max_attempts
     }
 
-    /// Notes that the request is being written to an endpoint.
+    /// Records that the request is being written to an endpoint.
     pub const fn record_send(&mut self) {
         self.sent += 1;
     }
 
-    /// Returns what follows a failure. `affordable` tells whether the budget
-    /// allows another send; it is asked only if one is due.
+    /// Returns the next step after a failure. `affordable`, which returns whether the
+    /// budget allows a retry and charges it, is called only if one is due.
     pub fn after_failure(&mut self, failure: Failure, affordable: impl FnOnce() -> bool) -> Next {
         match failure {
             Failure::Unsent => {
@@ -90,7 +90,7 @@
         Next::Give(self.exhausted())
     }
 
-    /// Returns the answer when no endpoint is left to try.
+    /// Returns the response when no endpoint is left to try.
     #[must_use]
     pub const fn exhausted(&self) -> Refusal {
         if self.uncertain {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Returns the answer when the time is up while an endpoint may be at
-    /// work (`sending`) or not.
+    /// Returns the response when the deadline has passed. `sending` states whether an
+    /// endpoint may be processing the request.
     #[must_use]
     pub const fn timed_out(&self, sending: bool) -> Refusal {
         if sending || self.uncertain {
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -1,4 +1,4 @@
-//! What a deployment calls things in requests and answers.
+//! The deployment's names and encodings in requests and responses.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,54 +9,55 @@
 
 use cactusnotch_throttle::Statement;
 
-/// What a caller's headers say, in the product's terms.
+/// The decoded headers of a caller's request.
 #[record]
 #[derive(Default)]
 pub struct Head {
-    /// The id of the caller's attempt.
+    /// The id of the attempt.
     pub id: Option<String>,
-    /// How long the caller will wait.
+    /// How long the caller waits for the response.
     pub time_budget: Option<Duration>,
-    /// The key of the caller's organisation.
+    /// The API key of the caller's organisation.
     pub key: Option<String>,
-    /// The last event that the caller has of a stream it resumes.
+    /// The id of the last event received, if the caller resumes a stream.
     pub last_event: Option<u64>,
-    /// The tokens of the prompt.
+    /// The number of tokens in the prompt.
     pub prompt_tokens: u32,
 }
 
-/// What a request is given on its way to an endpoint.
+/// The metadata that is sent to an endpoint with a request.
 #[derive(Debug, Clone, Copy)]
 pub struct Hop<'a> {
-    /// The incarnation that alone may run it.
+    /// The only incarnation of the endpoint that may run the request.
     pub endpoint: &'a str,
-    /// The organisation that sent it.
+    /// The organisation of the caller.
     pub organisation: Option<&'a str>,
-    /// The time that is left for it.
+    /// The time left until the caller's deadline.
     pub time_left: Option<Duration>,
-    /// The last event that the caller has, if a stream is resumed.
+    /// The id of the last event that the caller received, if a stream is
+    /// resumed.
     pub last_event: Option<u64>,
-    /// The urgency from 0, the most, to 9.
+    /// The urgency, from 0 (most urgent) to 9.
     pub urgency: Option<u8>,
 }
 
-/// What an endpoint's answer says beside its status.
+/// The metadata of an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResponseInfo {
-    /// Whether it is the answer to another request.
+    /// Whether the response belongs to another request.
     pub foreign: bool,
     /// Whether the endpoint states that it did not run the request.
     pub refused: bool,
-    /// Whether the endpoint signed it.
+    /// Whether the endpoint signed the response.
     pub signed: bool,
-    /// What the endpoint says of itself.
+    /// The endpoint's own report of its state.
     pub statement: Statement,
 }
 
-/// A caller's question for addresses.
+/// A caller's query for the addresses of entries.
 #[record]
 pub struct AddressQuery {
-    /// The host that the caller will ask for.
+    /// The host name that the caller will request.
     pub host: Option<String>,
     /// The region of the caller.
     pub region: Option<String>,
@@ -64,34 +65,34 @@
     pub data_centre: Option<String>,
 }
 
-/// What a deployment calls things in requests and answers. The product's own
-/// names stand in the signatures.
+/// The deployment's names and encodings in requests and responses. Method
+/// signatures use this crate's own terms.
 pub trait Dialect: 'static {
-    /// Reads a caller's headers.
+    /// Decodes the headers of a caller's request.
     fn head(headers: &HeaderMap) -> Head;
 
-    /// Sets and drops the headers of a request that goes to an endpoint.
+    /// Sets and removes headers of a request that is sent to an endpoint.
     fn forward(headers: &mut HeaderMap, hop: &Hop<'_>);
 
-    /// Reads what the headers of an answer to the request `id` say.
+    /// Decodes the headers of a response to the request `id`.
     fn response_info(
         headers: &HeaderMap,
         status: http::StatusCode,
         id: Option<&str>,
     ) -> ResponseInfo;
 
-    /// Reads a question for addresses, or `None` if the call is another.
+    /// Decodes a query for addresses; `None` if the request is not one.
     fn address_query(uri: &Uri) -> Option<AddressQuery>;
 
-    /// Tells whether the call asks whether the entry is ready.
+    /// Returns whether the request queries the readiness of the entry.
     fn is_readiness_query(uri: &Uri) -> bool;
 
-    /// Writes the answer to a question for addresses.
+    /// Encodes the response to a query for addresses, to be cached for `keep`.
     fn addresses(addresses: &[SocketAddr], keep: Duration) -> Bytes;
 
-    /// Adds to a refusal when to come back.
+    /// Adds to a refusal the time after which the caller should retry.
     fn set_retry_after(headers: &mut HeaderMap, after: Duration);
 
-    /// Writes the body of an answer of the entry's own.
+    /// Encodes the body of an error response of the entry.
     fn error_body(text: &str) -> Bytes;
 }
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,13 +1,13 @@
-//! The boundaries of a stream's events.
+//! Splits streams at the boundaries of their events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes of one event that are held back; longer ones are passed on
-/// as they come, and the stream then can't be resumed within them.
+/// The most bytes of an incomplete event that are buffered. A longer event is
+/// relayed as it arrives, and the stream can't be resumed within it.
 const EVENT_MAX: usize = 64 * 1024;
 
-/// Splits a stream after whole events, so that what a caller has got can be
-/// continued by another endpoint.
+/// Splits a stream after complete events. A caller that has received only
+/// complete events can be continued by another endpoint.
 #[derive(Debug, Default)]
 pub struct Splitter {
     partial: BytesMut,
@@ -15,7 +15,7 @@
 }
 
 impl Splitter {
-    /// Creates the boundaries of a stream that goes on after the event `last`.
+    /// Creates a splitter for a stream that continues after the event `last`.
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
         Self {
@@ -24,24 +24,24 @@
         }
     }
 
-    /// Returns the number of the last whole event.
+    /// Returns the id of the last complete event.
     #[must_use]
     pub const fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Tells whether an event is incomplete.
+    /// Returns whether an incomplete event is buffered.
     #[must_use]
     pub fn is_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Drops an incomplete event, which another endpoint will send whole.
+    /// Drops an incomplete event, which another endpoint will send completely.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes bytes and returns all whole events that are there now.
+    /// Adds bytes and returns all events that are complete.
     pub fn push(&mut self, data: &Bytes) -> Bytes {
         let whole = if self.partial.is_empty() {
             let end = boundary(data);
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one endpoint.
+//! Sends a request to one endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -26,39 +26,39 @@
 use crate::running::Running;
 use cactusnotch_throttle::Stated;
 
-/// A sound head of an answer, with all that is needed to read the rest.
+/// The validated head of a response, with everything needed to read its body.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
     pub(crate) lease: Lease,
     pub(crate) running: Running,
-    /// What the endpoint does with the connection after its answer.
+    /// Whether the endpoint keeps the connection open after its response.
     pub(crate) keep_alive: KeepAlive,
 }
 
-/// How a send ended without an answer.
+/// A send that got no usable response.
 #[derive(Debug)]
 pub(crate) struct Failed {
     pub(crate) failure: Failure,
-    /// What happened, for the log.
+    /// The cause, for the log.
     pub(crate) cause: String,
-    /// The run, if its connection broke before it had given anything.
+    /// The run, if its connection failed before the endpoint had sent anything.
     pub(crate) broken_run: Option<BrokenRun>,
 }
 
-/// Why no endpoint was chosen.
+/// Why no endpoint was selected.
 #[derive(Debug)]
 pub(crate) enum Unserved {
-    /// There is none to choose.
+    /// No endpoint is eligible.
     None(choice::Error),
-    /// All are so full that the request would be late.
+    /// All endpoints are so full that the request would be late.
     Busy,
-    /// The request is held.
+    /// The request is quarantined.
     Quarantined,
 }
 
-/// Chooses an endpoint and counts the request there.
+/// Selects an endpoint and counts the request there.
 pub(crate) fn choose(
     knowledge: &Rc<Knowledge>,
     call: &Call,
@@ -101,7 +101,7 @@
         sent: None,
         first: None,
     };
-    // What has been sent once is not worth less by now.
+    // Admission control applies to the first send only: a retry is worth no less.
     let admitted = !tried.is_empty() || admits(knowledge, call, &forecast, now);
     if admitted {
         Ok((endpoint, running))
@@ -110,8 +110,8 @@
     }
 }
 
-/// Tells whether an endpoint that was not tried has a free slot for a request, and
-/// sending it there can be paid for.
+/// Returns whether an untried endpoint has a free slot for the request, and the retry
+/// budget allows sending it there.
 pub(crate) fn may_move(
     knowledge: &Rc<Knowledge>,
     call: &Call,
@@ -126,8 +126,8 @@
     chosen.is_ok_and(|(_, running)| !running.forecast.full)
 }
 
-/// Waits until a request should go on elsewhere: nothing has come for a while, its
-/// endpoint is lost, and another one has room.
+/// Waits until the request should move to another endpoint: nothing has arrived for
+/// [`STALL_TIME`], its endpoint is lost, and another one has a free slot.
 pub(crate) async fn wait_until_lost(
     knowledge: &Rc<Knowledge>,
     call: &Call,
@@ -145,7 +145,7 @@
     }
 }
 
-/// Returns what a request has to expect at the endpoint that was chosen.
+/// Returns the predicted service of a request at the selected endpoint.
 fn forecast(knowledge: &Knowledge, choice: &choice::Choice, now: Instant) -> Forecast {
     Forecast {
         full: choice.reason == choice::Reason::Full,
@@ -156,7 +156,7 @@
     }
 }
 
-/// Tells whether a request is let in.
+/// Returns whether admission control admits the request.
 fn admits(knowledge: &Knowledge, call: &Call, forecast: &Forecast, now: Instant) -> bool {
     let route = &call.resolved.route;
     let targets = Targets {
@@ -167,14 +167,15 @@
     admission::admits(call.caller(now), forecast, &targets, draw)
 }
 
-/// The time without an event after which it is looked whether the endpoint is lost: far
-/// more than the longest pause on time, and far less than the two seconds after which
-/// callers leave, whose requests a frozen host can't be told to drop.
+/// The time without an event after which the endpoint is checked for being lost. It is
+/// far longer than the longest event gap that is on time, and far shorter than the two
+/// seconds after which callers disconnect: a frozen host can't be notified to drop
+/// their requests.
 const STALL_TIME: Duration = Duration::from_millis(500);
-/// How often it is looked again.
+/// The interval at which the endpoint is checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sends the request to `endpoint` and waits for the head of its answer.
+/// Sends the request to `endpoint` and waits for the head of the response.
 pub(crate) async fn send<D: Dialect>(
     knowledge: &Rc<Knowledge>,
     call: &Call,
@@ -210,9 +211,9 @@
     first: bool,
     running: &mut Running,
 ) -> Result<Lease, Failed> {
-    // A kept connection may be dropped already, or hold an extra answer. A
-    // request that can't be sent twice isn't risked on one, nor is the last
-    // chance of one that can.
+    // The endpoint may already have closed a kept connection, or have left an extra
+    // response on it. A request that must not be sent twice is not risked on one, nor
+    // is the last attempt of one that may be.
     let reuse = match call.resolved.route.retry_policy {
         RetryPolicy::Idempotent | RetryPolicy::Resume if first => Reuse::Allowed,
         RetryPolicy::Never | RetryPolicy::Idempotent | RetryPolicy::Resume => Reuse::Never,
@@ -222,7 +223,10 @@
     pool.take(endpoint, max_open, reuse, clock::now())
         .await
         .map_err(|error| match error {
-            pool::Error::Full => Failed::new(Failure::Unsent, "the entry's connections are in use"),
+            pool::Error::Full => Failed::new(
+                Failure::Unsent,
+                "the entry's connections to the endpoint are all in use",
+            ),
             pool::Error::Connect(error) => {
                 running.failed();
                 Failed::new(Failure::Unsent, &error.to_string())
@@ -230,7 +234,7 @@
         })
 }
 
-/// Checks whether the answer belongs to the request and is the endpoint's.
+/// Validates that the response belongs to the request and comes from the endpoint.
 fn check<D: Dialect>(
     call: &Call,
     endpoint: &Endpoint,
@@ -260,7 +264,7 @@
     let fault = if info.foreign {
         Some("an answer to another request")
     } else if head.headers.contains_key(header::CONTENT_ENCODING) {
-        Some("an encoded answer")
+        Some("an answer with a content encoding")
     } else if !info.signed {
         Some("an unsigned answer")
     } else {
@@ -283,7 +287,7 @@
     })
 }
 
-/// Reads how long the endpoint keeps the connection.
+/// Returns whether, and for how long, the endpoint keeps the connection open.
 fn keep_alive(head: &Parts) -> KeepAlive {
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let closes = text("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
@@ -308,7 +312,7 @@
         }
     }
 
-    /// Returns that the connection of a run has broken, so that whether it ran is open.
+    /// Creates the failure of a run whose connection broke: the request may have run.
     pub(crate) fn broken(running: &mut Running, cause: &str) -> Self {
         running.failed();
         Self {
@@ -318,8 +322,8 @@
     }
 }
 
-/// Tells whether an answer is the endpoint's own failure of a request that
-/// may be repeated elsewhere.
+/// Returns whether a response is a server error for a request that may be retried at
+/// another endpoint.
 pub(crate) fn is_retryable(status: StatusCode, retry_policy: RetryPolicy) -> bool {
     status.is_server_error() && retry_policy == RetryPolicy::Idempotent
 }
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -1,4 +1,4 @@
-//! The course of one request, from its head to its final answer.
+//! Handles one request, from its head to the end of its response.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 use crate::route::RetryPolicy;
 use crate::running::Running;
 
-/// How often it is looked whether there is room.
+/// The interval at which a waiting request checks for a free slot.
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Counts a request as in flight until it is dropped.
@@ -51,7 +51,7 @@
     }
 }
 
-/// Answers one request.
+/// Handles one request.
 pub(crate) async fn handle<D: Dialect>(
     knowledge: Rc<Knowledge>,
     incoming: Request<Incoming>,
@@ -85,7 +85,7 @@
     };
     let deadline = flight.call.deadline;
     let outcome = tokio::select! {
-        // An answer that is ready goes before the end of the time.
+        // A response that is ready takes precedence over the deadline.
         biased;
         outcome = flight.drive::<D>() => Some(outcome),
         () = knowledge.wake.wait_until(deadline) => None,
@@ -101,24 +101,24 @@
     }
 }
 
-/// An endpoint's answer that is to be passed on.
+/// An endpoint's response that is to be relayed.
 enum Answered {
     Whole(http::response::Parts, Bytes),
     Pieces(Box<Reply>, Bytes),
 }
 
-/// A request on its way.
+/// A request in progress.
 struct Flight {
     knowledge: Rc<Knowledge>,
     call: Call,
     lifecycle: Lifecycle,
     tried: Vec<name::Endpoint>,
-    /// Whether it has waited for room.
+    /// Whether the request has waited for a free slot.
     waited: bool,
-    /// Whether an endpoint may be at work.
+    /// Whether an endpoint may be processing the request.
     sending: bool,
-    /// An endpoint's own failure, which the caller gets unless another endpoint
-    /// does better: the request has run, so that it can't be called refused.
+    /// An endpoint's error response, which is relayed unless another endpoint succeeds.
+    /// The request has run, so it must not be reported as not run.
     failure: Option<(http::response::Parts, Bytes)>,
 }
 
@@ -126,7 +126,7 @@
     /// Sends the request to endpoints until one answers or none is left.
     async fn drive<D: Dialect>(&mut self) -> Result<Answered, Refusal> {
         loop {
-            // Timers stand still while the host sleeps.
+            // Timers stand still while the host is suspended.
             if self.call.deadline.left().is_zero() {
                 return Err(self.lifecycle.timed_out(false));
             }
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Sends the request to an endpoint and waits for the head of its answer, as long as
-    /// the endpoint is not lost or the request can't be sent again.
+    /// Sends the request to an endpoint and waits for the head of the response. If the
+    /// endpoint is lost and the request may be sent again, the wait ends early.
     async fn send<D: Dialect>(
         &mut self,
         endpoint: &Endpoint,
@@ -190,7 +190,7 @@
         })
     }
 
-    /// Reads an answer as far as it has to be known before it is passed on.
+    /// Receives the part of a response that must be validated before it is relayed.
     async fn receive(&mut self, mut reply: Reply) -> Result<Answered, Failed> {
         let retry_policy = self.call.resolved.route.retry_policy;
         if self.call.resolved.route.streaming && reply.head.status.is_success() {
@@ -223,7 +223,7 @@
         Ok(Answered::Whole(reply.head, bytes))
     }
 
-    /// Waits until it is looked for room again.
+    /// Waits until the next check for a free slot.
     async fn wait(&mut self) {
         if !std::mem::replace(&mut self.waited, true) {
             let id = self.call.head.id.as_deref();
@@ -233,8 +233,8 @@
         tokio::time::sleep(POLL_INTERVAL).await;
     }
 
-    /// Tells whether a caller that was refused before still waits for room, which may come
-    /// in time.
+    /// Returns whether a returning caller should keep waiting for a slot that may become
+    /// free in time.
     fn may_wait(&self, unserved: &Unserved) -> bool {
         let last = self.call.arrived + RETURNED_WAIT;
         let may_free_up = match unserved {
@@ -247,7 +247,7 @@
         may_free_up && self.call.has_returned && self.lifecycle.sent() == 0 && clock::now() < last
     }
 
-    /// Returns the answer when no endpoint can be chosen.
+    /// Returns the refusal when no endpoint can be selected.
     fn refusal_without_endpoint(&self, error: &choice::Error) -> Refusal {
         let id = self.call.head.id.as_deref();
         let service = self.call.resolved.service.as_str();
@@ -275,18 +275,19 @@
         budgets.try_spend(&self.call.resolved.service, clock::now())
     }
 
-    /// Finds out whether an endpoint has ended under the request, before it is sent to
-    /// another one.
+    /// Probes whether the endpoint crashed during the request, before the request is sent
+    /// to another one.
     async fn probe_crash(&mut self, failed: &mut Failed) {
         if let Some(broken_run) = failed.broken_run.take() {
-            // What the send has left open stays so if the time is up meanwhile.
+            // If the deadline passes during the probe, the request still counts as
+            // possibly run.
             self.sending = true;
             crash::probe(&self.knowledge, &self.call, broken_run).await;
             self.sending = false;
         }
     }
 
-    /// Decides what follows a send without an answer.
+    /// Decides how to continue after a send without a usable response.
     fn after_failure(&mut self, failed: &Failed) -> Result<(), Refusal> {
         let mut lifecycle = self.lifecycle;
         let next = lifecycle.after_failure(failed.failure, || self.affordable());
@@ -304,7 +305,7 @@
         }
     }
 
-    /// Starts to pass a long answer or a stream on.
+    /// Starts to relay a stream or a long response.
     fn relay<D: Dialect>(self, reply: Reply, first: Bytes, guard: InFlight) -> Response<Outgoing> {
         let (sender, receiver) = pieces::channel();
         let head = reply.head.clone();
@@ -349,10 +350,10 @@
         response
     }
 
-    /// Answers the caller though no endpoint did what it asked for.
+    /// Responds to a caller whose request no endpoint has completed.
     fn refuse<D: Dialect>(mut self, refusal: Refusal) -> Response<Outgoing> {
         if let Some((head, body)) = self.failure.take() {
-            let outcome = format!("an endpoint's own failure, then: {refusal}");
+            let outcome = format!("error response of an endpoint relayed after: {refusal}");
             self.log(head.status.as_u16(), &outcome);
             return relayed_response(&self.knowledge, head, Outgoing::Whole(Some(body)));
         }
@@ -378,7 +379,7 @@
     response
 }
 
-/// Writes an endpoint's answer for the caller.
+/// Converts an endpoint's response for the caller.
 fn relayed_response(
     knowledge: &Knowledge,
     head: http::response::Parts,
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -1,4 +1,4 @@
-//! Reads a caller's request and judges it.
+//! Reads a caller's request and resolves its route, organisation and limits.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -17,7 +17,7 @@
 use crate::refusal::Refusal;
 use crate::request::{self, Call};
 
-/// Reads and judges a request.
+/// Reads and resolves a request.
 pub(crate) async fn admit<D: Dialect>(
     knowledge: &Rc<Knowledge>,
     incoming: Request<Incoming>,
@@ -58,8 +58,8 @@
     let draw = knowledge.rng.borrow_mut().random();
     let resolved = request::resolve(&configuration, host, parts.uri.path(), &head, draw);
     let resolved = match resolved {
-        // What isn't known here may have come with a configuration that
-        // hasn't arrived.
+        // The missing route or key may be in a newer configuration that this
+        // entry has not received yet.
         Err(Refusal::NoRoute | Refusal::NoKey) if !fresh => Err(Refusal::NotFresh),
         Ok(resolved) if resolved.organisation.is_some() && !fresh => Err(Refusal::NotFresh),
         other => other,
@@ -95,12 +95,12 @@
     })
 }
 
-/// The most bytes of a body, and the time for one, while no configuration
-/// says otherwise.
+/// The limits of a body's size and transfer time before a configuration is
+/// known.
 const DEFAULT_BODY_MAX: usize = 1 << 20;
 const DEFAULT_BODY_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Reads a body piece by piece, each of which is counted in `held`.
+/// Reads a body and adds each of its frames to `reservation`.
 async fn read_body(
     body: Incoming,
     limit: usize,
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -1,8 +1,8 @@
-//! The log of a process, written beside its work.
+//! The log output of a process, written in the background.
 //!
-//! Lines are put into memory and written by a thread of their own, so that a
-//! reader of standard output that stalls holds no request up. What doesn't fit
-//! is dropped and counted, and the count is logged.
+//! Lines are buffered in memory and written by a separate thread. A stalled
+//! reader of standard output thus blocks no request. Lines that don't fit into
+//! the buffer are dropped and counted, and the count is logged.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -12,11 +12,11 @@
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// The most bytes of lines that wait to be written: some thousand lines, and
-/// two seconds of an entry's lines at a thousand requests a second.
+/// The most bytes of buffered lines: some thousand lines, or two seconds of an
+/// entry's lines at a thousand requests a second.
 const PENDING_BYTES_MAX: usize = 512 * 1024;
-/// How long lines are gathered before they are written together: a wake-up
-/// and a system call for each line would cost more than its text.
+/// How long lines are collected before they are written together. A wake-up and
+/// a system call for each line would cost more than formatting it.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
@@ -25,19 +25,20 @@
     dropped: u64,
 }
 
-/// The lines that wait to be written.
+/// A buffer of log lines with a background writer.
 #[derive(Debug, Clone, Default)]
 pub struct BufferedLog {
     shared: Arc<(Mutex<Pending>, Condvar)>,
 }
 
 impl BufferedLog {
-    /// Starts to log JSON lines of `level` and above to standard output.
+    /// Installs the buffer as the global log of the process, which writes JSON
+    /// lines of `level` and above to standard output.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process has a log already or can't start the
-    /// writing thread.
+    /// Returns an error if the process already has a log or the writer thread
+    /// can't be started.
     pub fn start(level: LevelFilter) -> io::Result<Self> {
         let journal = Self::default();
         let subscriber = cactusnotch_telemetry::log::json(level, journal.clone());
@@ -49,10 +50,10 @@
         Ok(journal)
     }
 
-    /// Writes what waits now; called before the process ends.
+    /// Writes all buffered lines. Call this before the process exits.
     pub fn flush(&self) {
         let bytes = self.take();
-        // A reader that is gone can't be told.
+        // A closed standard output can't be reported anywhere.
         let _: io::Result<()> = io::stdout().lock().write_all(&bytes);
     }
 
@@ -119,7 +120,7 @@
     }
 }
 
-/// Returns a time as log lines state it, in whole milliseconds.
+/// Converts a duration to whole milliseconds, the unit of log lines.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/memory.rs
+++ b/crates/gateway/src/memory.rs
@@ -1,33 +1,33 @@
-//! The memory that an entry has for requests and answers under way.
+//! The memory budget of an entry for requests and responses in progress.
 
 use std::sync::Arc;
 
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// What a request holds beside its body: the pieces of its answer that wait for the caller,
-/// as much again in the buffers of each of its two connections.
+/// The memory of a request without its body: the buffered pieces of its response, and the
+/// same amount again for the buffers of each of its two connections.
 const REQUEST_BYTES: u32 = 3 * ANSWER_BYTES;
-/// The most bytes of an answer that wait for a slow caller before the endpoint is made to
-/// wait. A whole stream of short events fits, so that its endpoint is free sooner.
+/// The most bytes of a response that are buffered for a slow caller before reading from the
+/// endpoint pauses. A whole stream of short events fits, which frees its endpoint sooner.
 pub const ANSWER_BYTES: u32 = 16 * 1024;
-/// The part of a host's memory that requests and answers may take: one in so many. The
-/// configuration, idle connections and what the allocator keeps need the rest.
+/// Requests and responses may use the host's memory divided by this number. The
+/// configuration, idle connections and the allocator's overhead need the rest.
 const HOST_DIVISOR: u64 = 2;
 
-/// The memory that an entry has for requests and answers under way.
+/// The memory budget of an entry for requests and responses in progress.
 #[derive(Debug)]
 pub struct Memory {
     free: Arc<Semaphore>,
 }
 
-/// A part of it, which is free again once this is dropped.
+/// Memory reserved by a request, which is released when this is dropped.
 #[derive(Debug)]
 pub struct Reservation {
     permit: OwnedSemaphorePermit,
 }
 
 impl Memory {
-    /// Creates the memory of an entry on a host that has `host_bytes`.
+    /// Creates the budget of an entry on a host with `host_bytes` of memory.
     #[must_use]
     pub fn of_host(host_bytes: u64) -> Self {
         let bytes = usize::try_from(host_bytes / HOST_DIVISOR).unwrap_or(usize::MAX);
@@ -36,7 +36,8 @@
         }
     }
 
-    /// Takes what a request needs without its body; `None` if there is no room.
+    /// Reserves the memory of a request without its body; `None` if the budget is
+    /// exhausted.
     #[must_use]
     pub fn reserve(&self) -> Option<Reservation> {
         let permit = Arc::clone(&self.free).try_acquire_many_owned(REQUEST_BYTES);
@@ -45,7 +46,7 @@
         })
     }
 
-    /// Adds so many bytes to what a request holds; tells whether there was room.
+    /// Adds `bytes` to a reservation; returns whether the budget allowed it.
     #[must_use]
     pub fn grow(&self, reservation: &mut Reservation, bytes: usize) -> bool {
         let Ok(bytes) = u32::try_from(bytes) else {
@@ -55,7 +56,7 @@
         more.map(|more| reservation.permit.merge(more)).is_ok()
     }
 
-    /// Returns the bytes that are free.
+    /// Returns the number of free bytes.
     #[must_use]
     pub fn free(&self) -> usize {
         self.free.available_permits()
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -7,7 +7,7 @@
 
 use crate::regions::Regions;
 
-/// Settings that an entry gets from its host, not from the operators' tree.
+/// Settings of an entry that come from its host, not from the operators' configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
     /// The name of the host.
@@ -16,41 +16,39 @@
     pub data_centre: String,
     /// The regions of all data centres.
     pub regions: Regions,
-    /// Where callers connect.
+    /// The address for callers' requests.
     pub listen: SocketAddr,
-    /// Where it is asked whether it is ready.
+    /// The address for readiness queries.
     pub readiness: SocketAddr,
-    /// Where callers ask which entries to use.
+    /// The address for queries of entry addresses.
     pub resolver: SocketAddr,
-    /// Where entries and agents send each other datagrams.
+    /// The address for datagrams between entries and agents.
     pub peers: SocketAddr,
-    /// Where metrics are scraped.
+    /// The address that serves metrics.
     pub metrics: SocketAddr,
-    /// The port on which the agents of endpoints take datagrams.
+    /// The port on which the endpoints' agents receive datagrams.
     pub agent_port: u16,
-    /// Where the platform's store is.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The longest time for which a taken-away key may still work; `None` if
-    /// that isn't bounded.
+    /// The longest time for which a revoked key may still be accepted; `None` for no bound.
     pub revocation_bound: Option<Duration>,
     /// The memory of the host, in bytes.
     pub memory: u64,
-    /// The time within which an endpoint that leaves has to be known.
+    /// The time within which entries must have received the notice of a leaving endpoint.
     pub leaving_bound: Duration,
-    /// The time within which a data centre that operators evacuate gets nothing more; `None`
-    /// if they evacuate none.
+    /// The time within which traffic to an evacuated data centre must stop; `None` if
+    /// evacuations are not used.
     pub evacuation_bound: Option<Duration>,
-    /// What an endpoint bears while it is cold, beyond the rate that operators state.
+    /// How far an endpoint that is warming up may exceed the configured rate.
     pub warm_up: Tolerance,
-    /// The time that a stop may take.
+    /// The grace period of a stop.
     pub grace: Duration,
-    /// Repeated sends allowed for each request.
+    /// The retries allowed for each request.
     pub retry_ratio: f64,
-    /// Repeated sends allowed for a service in a window beyond the ratio, over
-    /// all entries.
+    /// The retries allowed for a service in a window beyond the ratio, over all entries.
     pub retry_slack: u32,
-    /// The span over which repeated sends are counted.
+    /// The window over which retries are counted.
     pub retry_window: Duration,
-    /// The longest time that callers keep a list of addresses.
+    /// The longest time for which callers cache a list of addresses.
     pub address_ttl_max: Duration,
 }
--- a/crates/gateway/src/pace.rs
+++ b/crates/gateway/src/pace.rs
@@ -1,18 +1,19 @@
-//! How slow a rank is against its usual speed.
+//! How much slower a rank is than usual.
 
 use cactusnotch_derive::message;
 
-/// A pace is told in hundredths.
+/// The unit of a slowdown: hundredths.
 const HUNDRED: f64 = 100.0;
-/// The bounds of a pace that is believed. A rank is never planned for as faster
-/// than usual, and beyond fifty times slower nothing is left to decide.
+/// The accepted range of a slowdown. Planning never assumes that a rank is faster than
+/// usual, and beyond a factor of fifty all decisions are the same.
 const FACTOR_RANGE: std::ops::RangeInclusive<f64> = 1.0..=50.0;
 
-/// The factor from which a rank is sent elsewhere what it would get.
+/// The factor from which new work for a rank is sent to other ranks.
 const SLOW_FACTOR: f64 = 2.0;
-/// The factor from which its streams are moved. Reading a prompt anew takes some
-/// 15 ms of one rank; a rank that is three times slower costs each pass about as
-/// much for each two of its streams, and a stream lasts for tens of passes.
+/// The factor from which a rank's streams are moved to other ranks. Processing a prompt
+/// again takes some 15 ms of one rank. A rank that is three times slower delays each
+/// forward pass by about as much for each two of its streams, and a stream lasts for
+/// tens of passes.
 const STRAGGLER_FACTOR: f64 = 3.0;
 
 /// How many times longer than usual a rank takes for its work, in hundredths.
@@ -28,7 +29,7 @@
 }
 
 impl Slowdown {
-    /// Takes a factor, within the bounds that are believed.
+    /// Creates a slowdown from a factor, which is clamped to the accepted range.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -41,16 +42,16 @@
         Self((factor * HUNDRED).round() as u16)
     }
 
-    /// Tells whether the rank is so slow that it should get no new work while others
-    /// have room: its own part of a pass is then longer than what a usual rank needs
-    /// for its own part and for a tenth of the experts' work together.
+    /// Returns whether the rank is so slow that it should get no new work while others
+    /// have capacity. Its own part of a forward pass then takes longer than a normal
+    /// rank's own part and a tenth of the experts' work together.
     #[must_use]
     pub fn is_slow(self) -> bool {
         self.factor() >= SLOW_FACTOR
     }
 
-    /// Tells whether the rank is so slow that its streams are worth moving to others:
-    /// all ranks of the group wait in each pass for its own part.
+    /// Returns whether the rank is so slow that moving its streams to other ranks is
+    /// worth the cost: all ranks of the group wait for it in each forward pass.
     #[must_use]
     pub fn is_straggler(self) -> bool {
         self.factor() >= STRAGGLER_FACTOR
--- a/crates/gateway/src/pieces.rs
+++ b/crates/gateway/src/pieces.rs
@@ -1,4 +1,4 @@
-//! The pieces of an answer that wait for their caller, bounded by their bytes.
+//! A channel for the pieces of a response, bounded by their total size.
 
 use std::sync::Arc;
 
@@ -9,28 +9,29 @@
 use crate::body::Truncated;
 use crate::memory::ANSWER_BYTES;
 
-/// A piece, which counts until the caller's connection takes it.
+/// A piece, which counts towards the bound until the caller's connection takes
+/// it.
 #[derive(Debug)]
 pub(crate) struct Piece {
     pub(crate) bytes: Result<Bytes, Truncated>,
     _room: Option<OwnedSemaphorePermit>,
 }
 
-/// Where the pieces of an answer are put.
+/// The sending end of a response.
 #[derive(Debug)]
 pub(crate) struct Sender {
     room: Arc<Semaphore>,
     pieces: UnboundedSender<Piece>,
 }
 
-/// Where the caller's connection takes them.
+/// The receiving end, held by the caller's connection.
 pub(crate) type Receiver = UnboundedReceiver<Piece>;
 
-/// The caller's connection has ended.
+/// The caller has disconnected.
 #[derive(Debug)]
 pub(crate) struct Disconnected;
 
-/// Returns the two ends of an answer.
+/// Creates the channel of a response.
 pub(crate) fn channel() -> (Sender, Receiver) {
     let (pieces, receiver) = unbounded_channel();
     let room = Arc::new(Semaphore::new(ANSWER_BYTES as usize));
@@ -38,11 +39,11 @@
 }
 
 impl Sender {
-    /// Waits for room and puts a piece.
+    /// Sends a piece as soon as the bound allows it.
     ///
     /// # Errors
     ///
-    /// Returns that the caller has left.
+    /// Returns an error if the caller has disconnected.
     pub(crate) async fn send(&self, bytes: Bytes) -> Result<(), Disconnected> {
         let size = u32::try_from(bytes.len()).unwrap_or(u32::MAX);
         let room = Arc::clone(&self.room).acquire_many_owned(size.min(ANSWER_BYTES));
@@ -54,16 +55,16 @@
         self.enqueue(Ok(bytes), Some(room))
     }
 
-    /// Puts the sign that the answer broke off.
+    /// Signals that the response is truncated.
     ///
     /// # Errors
     ///
-    /// Returns that the caller has left.
+    /// Returns an error if the caller has disconnected.
     pub(crate) fn send_truncated(&self) -> Result<(), Disconnected> {
         self.enqueue(Err(Truncated), None)
     }
 
-    /// Waits until the caller has left.
+    /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&self) {
         self.pieces.closed().await;
     }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Kept connections to endpoints.
+//! A pool of connections to endpoints.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,17 +10,17 @@
 use crate::channel::{self, Channel};
 use crate::endpoint::Endpoint;
 
-/// The longest time to connect to an endpoint: a healthy one in the same
-/// region takes milliseconds, and a lost opening packet is sent again only
-/// after a second.
+/// The timeout for connecting to an endpoint. A healthy endpoint in the same
+/// region accepts within milliseconds, and TCP retransmits a lost SYN packet
+/// only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long a kept connection is used again if the endpoint stated no bound.
+/// How long an idle connection is reused if the endpoint states no timeout.
 const IDLE_TIME: Duration = Duration::from_secs(4);
-/// The part of the endpoint's stated idle time after which a connection is
-/// not used again, since the endpoint may be closing it.
+/// The fraction of the endpoint's stated idle timeout for which a connection is
+/// reused. Later, the endpoint may be closing it.
 const IDLE_FRACTION: f64 = 0.7;
 
-/// A connection that is kept for the next request.
+/// An idle connection.
 #[derive(Debug)]
 struct Idle {
     channel: Channel,
@@ -34,7 +34,7 @@
     open: u32,
 }
 
-/// The kept connections of an entry.
+/// The connections of an entry, by endpoint.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Pool {
     rows: Rc<RefCell<Table<String, Row>>>,
@@ -53,33 +53,35 @@
 pub(crate) enum Error {
     /// The entry's part of the endpoint's connections is in use.
     Full,
-    /// The endpoint could not be reached.
+    /// The connection could not be established.
     Connect(channel::Error),
 }
 
-/// Whether a kept connection may be used. The endpoint may drop one without
-/// notice, and what is sent on it then is in doubt.
+/// Whether an idle connection may be used. The endpoint may close one without
+/// notice, and a request that was written to it may or may not have been
+/// received.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Reuse {
-    /// It may.
+    /// Idle connections may be used.
     Allowed,
-    /// Only a new connection leaves no doubt that the request was read.
+    /// Only a new connection may be used, which the endpoint is certain to
+    /// read.
     Never,
 }
 
-/// What an endpoint does with a connection after its answer.
+/// Whether an endpoint keeps a connection open after its response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum KeepAlive {
-    /// It closes it.
+    /// The endpoint closes the connection.
     Closed,
-    /// It keeps it, and doesn't say for how long.
+    /// The endpoint keeps it open and states no timeout.
     Open,
-    /// It keeps it for this time.
+    /// The endpoint keeps it open for this time.
     For(Duration),
 }
 
 impl Pool {
-    /// Takes a connection to `endpoint`, of which at most `most` are open.
+    /// Takes a connection to `endpoint`, of which at most `max_open` are open.
     pub(crate) async fn take(
         &self,
         endpoint: &Endpoint,
@@ -107,7 +109,7 @@
         Ok(lease(channel))
     }
 
-    /// Takes a kept connection, or counts one that is to be opened.
+    /// Takes an idle connection, or reserves a place for a new one.
     fn reserve(
         &self,
         endpoint: &Endpoint,
@@ -138,8 +140,8 @@
         Ok(None)
     }
 
-    /// Drops the kept connections of endpoints that `keep` doesn't name, and
-    /// those that are too old.
+    /// Drops the idle connections of endpoints for which `keep` returns
+    /// `false`, and expired ones.
     pub(crate) fn sweep(&self, now: Instant, keep: impl Fn(&str) -> bool) {
         self.rows.borrow_mut().retain(|id, row| {
             let before = row.idle.len();
@@ -159,7 +161,8 @@
     }
 }
 
-/// A connection that is being opened; it counts until it is given up.
+/// The place of a connection that is being opened, which is released on
+/// failure.
 struct Reservation<'a> {
     pool: &'a Pool,
     endpoint: &'a str,
@@ -177,8 +180,8 @@
         self.channel.as_mut()
     }
 
-    /// Gives the connection back after a whole answer, to be used again for as
-    /// long as the endpoint said it keeps it.
+    /// Returns the connection to the pool after a complete response, to be
+    /// reused within the endpoint's idle timeout.
     pub(crate) fn put_back(mut self, keep_alive: KeepAlive, now: Instant) {
         let idle = match keep_alive {
             KeepAlive::Closed => return,
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -1,5 +1,4 @@
-//! Passes a long answer or a stream on, and continues a broken stream at
-//! another endpoint.
+//! Relays a stream or a long response, and resumes a broken stream at another endpoint.
 
 use std::rc::Rc;
 
@@ -21,61 +20,62 @@
 use crate::request::Call;
 use crate::route::RetryPolicy;
 
-/// How an answer ended.
+/// How a response ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub(crate) enum End {
-    /// The caller got all of it.
+    /// The caller received the complete response.
     #[display("whole")]
     Whole,
-    /// The caller left.
+    /// The caller disconnected.
     #[display("caller left")]
     CallerLeft,
-    /// The time was up.
+    /// The deadline passed.
     #[display("time up")]
     TimeUp,
-    /// It broke off.
+    /// The response was truncated.
     #[display("broken off")]
     Broken,
 }
 
-/// An answer that is being passed on.
+/// A response that is being relayed.
 pub(crate) struct Pump {
     pub(crate) knowledge: Rc<Knowledge>,
     pub(crate) call: Call,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) tried: Vec<name::Endpoint>,
     pub(crate) sender: Sender,
-    /// How often a stream was continued at another endpoint.
+    /// How often the stream was resumed at another endpoint.
     pub(crate) resumed: u32,
 }
 
-/// Tells whether an answer is a stream of events that ends with its framing. The
-/// caller gets the head of the first endpoint: had that a length, events of
-/// another one would be cut there and look whole.
+/// Returns whether a response is a stream of events without a content length. The
+/// caller receives the head of the first endpoint. With a content length, the events of
+/// another endpoint would be cut at that length and the result would look complete.
 fn is_open_stream(head: &Parts) -> bool {
     let kind = head.headers.get(header::CONTENT_TYPE);
     let events = kind.is_some_and(|kind| kind.as_bytes().starts_with(EVENTS));
     head.status.is_success() && events && !head.headers.contains_key(header::CONTENT_LENGTH)
 }
 
-/// The media type of streams.
+/// The media type of event streams.
 const EVENTS: &[u8] = b"text/event-stream";
 
-/// What became of one endpoint's part of an answer.
+/// How one endpoint's part of a response ended.
 enum PartEnd {
     End(End),
     Broken(Failed),
 }
 
 impl PartEnd {
-    /// Returns that the stream is to go on elsewhere, since `cause`.
+    /// Creates the end of a part that should be resumed at another endpoint because of
+    /// `cause`.
     fn broken(cause: &str) -> Self {
         Self::Broken(Failed::new(Failure::Uncertain, cause))
     }
 }
 
 impl Pump {
-    /// Passes `reply` on, after the bytes `first` that were read already.
+    /// Relays `reply`, after the bytes `first` that were already read.
     pub(crate) async fn run<D: Dialect>(mut self, mut reply: Reply, first: Bytes) -> (End, Self) {
         let resumable = self.call.resolved.route.retry_policy == RetryPolicy::Resume
             && is_open_stream(&reply.head);
@@ -100,16 +100,16 @@
         }
     }
 
-    /// Tells the caller by a cut connection if the answer is not whole.
+    /// Signals an incomplete response to the caller by closing the connection.
     fn finish(&self, end: End) -> End {
         if matches!(end, End::TimeUp | End::Broken) {
-            // A caller that has left meanwhile needs no sign.
+            // The caller may have disconnected, in which case no signal is needed.
             let _: Result<(), _> = self.sender.send_truncated();
         }
         end
     }
 
-    /// Passes on what one endpoint sends.
+    /// Relays the part of the response that one endpoint sends.
     async fn relay_part(&self, reply: Reply, mut events: Option<&mut Splitter>) -> PartEnd {
         let Reply {
             mut body,
@@ -163,8 +163,8 @@
         PartEnd::End(End::Whole)
     }
 
-    /// Tells whether a stream should go on at another endpoint: all ranks of a group
-    /// wait in each pass for what a straggler does for its own streams.
+    /// Returns whether a stream should move to another endpoint: in each forward pass,
+    /// all ranks of a group wait for a straggler to process its own streams.
     fn should_move(&self, endpoint: &name::Endpoint) -> bool {
         let now = clock::now();
         let is_straggler = || {
@@ -176,14 +176,14 @@
             && exchange::may_move(&self.knowledge, &self.call, &self.tried, now)
     }
 
-    /// Finds out whether an endpoint has ended under the request.
+    /// Probes whether the endpoint crashed during the request.
     async fn probe_crash(&self, failed: &mut Failed) {
         if let Some(broken_run) = failed.broken_run.take() {
             crash::probe(&self.knowledge, &self.call, broken_run).await;
         }
     }
 
-    /// Continues a stream after the event `last` at another endpoint.
+    /// Resumes a stream after the event `last` at another endpoint.
     async fn resume<D: Dialect>(
         &mut self,
         last: Option<u64>,
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -1,8 +1,8 @@
-//! Which requests are kept from endpoints, since they end those that run them.
+//! Quarantines requests that crash the endpoints that run them.
 //!
-//! An attempt's bound on endpoints says nothing of the next attempt, and a bound on repeats
-//! over all requests never binds for a single one. What a request has done is remembered by
-//! its [`Content`] instead, over all attempts and all entries.
+//! The limit on endpoints per attempt doesn't cover a caller's next attempt, and the retry
+//! budget over all requests is never exhausted by a single one. The crashes of a request are
+//! therefore recorded by its [`Fingerprint`], over all attempts and all entries.
 
 use std::time::Duration;
 
@@ -12,45 +12,45 @@
 
 use crate::content::Fingerprint;
 
-/// The ends of endpoints from which on a request is held. One may have any cause, and one to
-/// three requests that are innocent stood where a server ended in a recorded hour; a second
-/// run that began after the first had ended and ends the same way tells them apart. A third
-/// would cost a further group of ranks for some five seconds.
+/// The number of crashes after which a request is quarantined. One crash may have any cause,
+/// and in an observed hour one to three unrelated requests were running on a server when it
+/// crashed. A second run that began after the first crash and crashes its endpoint as well
+/// distinguishes the cause. A third would cost another group of ranks for some five seconds.
 pub const CRASH_THRESHOLD: usize = 2;
-/// How long a request is held: long enough that callers who come again don't get through,
-/// and an end to what the next version of a model may have mended.
+/// How long a request is quarantined: long enough to outlast retries, and limited because the
+/// next version of a model may have fixed the fault.
 pub const QUARANTINE_TIME: Duration = Duration::from_hours(1);
-/// How long an end is remembered of a request that is not held. Callers come again within
-/// seconds; their users, within minutes.
+/// How long a crash is remembered for a request that is not quarantined. Callers retry within
+/// seconds, and their users within minutes.
 const SUSPECT_TIME: Duration = Duration::from_mins(10);
-/// How long it is remembered that a request is no longer held: copies that a store comes back
-/// from, and listings that may be old, are some seconds old.
+/// How long it is remembered that a quarantine was lifted. Restored copies of the store and
+/// stale listings may be some seconds old.
 const CLEARED_TIME: Duration = Duration::from_mins(2);
-/// The most requests that are remembered: the loss of all of 1,300 servers leaves some 2,500
-/// that had just begun.
+/// The most requests that are remembered. The loss of all of 1,300 servers affects some 2,500
+/// requests that had just begun.
 const ROWS_MAX: usize = 4_096;
 
-/// An endpoint that ended while it ran a request which had given nothing yet.
+/// A crash of an endpoint while it ran a request for which it had not sent anything.
 #[record]
 pub struct Crash {
-    /// The life of the endpoint.
+    /// The incarnation of the endpoint.
     pub endpoint: String,
-    /// When the request was sent there.
+    /// When the request was sent to the endpoint.
     pub sent: Instant,
-    /// When the endpoint was seen to have ended.
+    /// When the crash was detected.
     pub at: Instant,
 }
 
-/// What a crash says of its request.
+/// The consequence of a crash for its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verdict {
-    /// The crash was known.
+    /// The crash was already recorded.
     Known,
-    /// The request may have caused it, or may have stood beside what did.
+    /// The request may have caused the crash or may only have been running at the time.
     Suspected,
-    /// The request is held from now on.
+    /// The request is quarantined from now on.
     Held,
-    /// The request was held already.
+    /// The request was already quarantined.
     HeldBefore,
 }
 
@@ -58,9 +58,9 @@
 struct Row {
     crashes: Vec<Crash>,
     quarantined_until: Option<Instant>,
-    /// Whether the store is known to have a record that it is held.
+    /// Whether the store is known to hold a record of the quarantine.
     recorded: bool,
-    /// When it is forgotten.
+    /// When the row expires.
     until: Instant,
 }
 
@@ -74,9 +74,9 @@
         }
     }
 
-    /// Returns the crashes that can't have one common cause, as the loss of a rack has that
-    /// ends several endpoints at which callers wait for the same: those of runs of which
-    /// each began after the one before had ended.
+    /// Returns the number of crashes that can't have one common cause: only runs that began
+    /// after the previous counted crash. The loss of a rack, for example, terminates several
+    /// endpoints at which callers wait for the same request.
     fn independent_crashes(&mut self) -> usize {
         self.crashes.sort_by_key(|crash| crash.at);
         let mut last: Option<Instant> = None;
@@ -96,36 +96,36 @@
     }
 }
 
-/// The requests under which endpoints have ended.
+/// The requests during which endpoints have crashed.
 #[derive(Debug, Default)]
 pub struct Quarantine {
     rows: Table<Fingerprint, Row>,
-    /// Requests that were held and served since, with when that is forgotten: the store may
-    /// show their records once more.
+    /// Requests whose quarantine was lifted because they were served, with the time at which
+    /// this is forgotten. The store may still list their records.
     cleared: Table<Fingerprint, Instant>,
 }
 
 impl Quarantine {
-    /// Tells whether no request is remembered, so that none has to be looked up.
+    /// Returns whether no request is remembered, in which case no fingerprint is needed.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
     }
 
-    /// Returns how many requests are remembered.
+    /// Returns the number of remembered requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.rows.len()
     }
 
-    /// Returns how many requests are held.
+    /// Returns the number of quarantined requests.
     #[must_use]
     pub fn quarantined_len(&self) -> usize {
         let quarantined = |row: &&Row| row.quarantined_until.is_some();
         self.rows.values().filter(quarantined).count()
     }
 
-    /// Takes that an endpoint ended under the request `content`.
+    /// Records the crash of an endpoint during the request `content`.
     pub fn record_crash(&mut self, content: Fingerprint, crash: &Crash, now: Instant) -> Verdict {
         self.make_room(content);
         let until = now + SUSPECT_TIME;
@@ -147,8 +147,8 @@
         Verdict::Held
     }
 
-    /// Takes from elsewhere that the request is held for `left`, at most [`HOLD_TIME`];
-    /// returns whether that is new.
+    /// Quarantines a request for `left`, at most [`QUARANTINE_TIME`], as reported by another
+    /// entry or the store; returns whether it was not quarantined before.
     pub fn add(&mut self, content: Fingerprint, left: Duration, now: Instant) -> bool {
         self.make_room(content);
         let until = now + left.min(QUARANTINE_TIME);
@@ -160,15 +160,15 @@
         true
     }
 
-    /// Returns how long the request is held still, if it is.
+    /// Returns the time left of a request's quarantine, if it is quarantined.
     #[must_use]
     pub fn time_left(&self, content: Fingerprint, now: Instant) -> Option<Duration> {
         let until = self.rows.get(&content)?.quarantined_until?;
         until.checked_duration_since(now)
     }
 
-    /// Takes that the request was served whole, so that it was not what ended endpoints;
-    /// returns whether it was held, or `None` if nothing was remembered of it.
+    /// Clears a request that was served completely and thus is not the cause of the crashes.
+    /// Returns whether it was quarantined, or `None` if it was not remembered.
     pub fn clear(&mut self, content: Fingerprint, now: Instant) -> Option<bool> {
         let row = self.rows.remove(&content)?;
         let was_quarantined = row.quarantined_until.is_some();
@@ -178,21 +178,22 @@
         Some(was_quarantined)
     }
 
-    /// Tells whether the request was held and has been served since, not long ago.
+    /// Returns whether the request's quarantine was recently lifted because it was served.
     #[must_use]
     pub fn is_cleared(&self, content: Fingerprint, now: Instant) -> bool {
         self.cleared.get(&content).is_some_and(|until| *until > now)
     }
 
-    /// Takes that the store came back from an older copy, which may lack all records.
+    /// Discards the knowledge of records after the store was restored from an older copy,
+    /// which may lack all of them.
     pub fn forget_records(&mut self) {
         for (_, row) in self.rows.iter_mut() {
             row.recorded = false;
         }
     }
 
-    /// Takes that the store's record names the request or not; returns whether it is to be
-    /// written there.
+    /// Updates whether the store has a record of the request's quarantine; returns whether
+    /// the record has to be written.
     pub fn note_record(&mut self, content: Fingerprint, recorded: bool) -> bool {
         let Some(row) = self.rows.get_mut(&content) else {
             return false;
@@ -202,20 +203,20 @@
         missing
     }
 
-    /// Returns the requests that are held, each with how long it is so.
+    /// Returns the quarantined requests, each with the time left.
     pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
         let left = move |row: &Row| row.quarantined_until?.checked_duration_since(now);
         let rows = self.rows.iter();
         rows.filter_map(move |(content, row)| Some((*content, left(row)?)))
     }
 
-    /// Forgets what is past its time.
+    /// Drops expired rows.
     pub fn expire(&mut self, now: Instant) {
         self.rows.retain(|_, row| row.until > now);
         self.cleared.retain(|_, until| *until > now);
     }
 
-    /// Makes room for a request, by the one that would be forgotten first.
+    /// Makes room for a request by dropping the row that expires first.
     fn make_room(&mut self, content: Fingerprint) {
         if self.rows.len() < ROWS_MAX || self.rows.contains(&content) {
             return;
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! The answers that an entry gives itself.
+//! Error responses of the entry itself.
 
 use std::time::Duration;
 
@@ -9,69 +9,70 @@
 use crate::dialect::Dialect;
 use crate::quarantine;
 
-/// When a refused caller is told to come back if it is another entry that will
-/// serve it, and at least: the time to find one.
+/// The shortest time after which a refused caller should retry. It applies when another
+/// entry can serve the request: the caller needs this time to find one.
 pub const RETRY_AFTER_MIN: Duration = Duration::from_millis(300);
-/// The part of the time that a caller has left after which it comes back if
-/// endpoints have to recover first. Callers wait a third at most. A group of
-/// ranks is back two seconds after all hosts have lost their power, and a stream
-/// that fills an engine takes about as long.
+/// The fraction of a caller's remaining time budget after which it should retry if
+/// endpoints have to recover first. Callers wait for at most a third of it. A group of
+/// ranks is back two seconds after a power loss of all hosts, and a stream that fills
+/// an engine takes about as long.
 const RECOVERY_FRACTION: f64 = 0.28;
-/// The longest time for that: it is worth less the later it is.
+/// The longest recovery time: a response is worth less the later it arrives.
 const RECOVERY_MAX: Duration = Duration::from_millis(2_400);
 
-/// Why an entry answers itself.
+/// Why an entry responds itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Refusal {
-    /// The request's head can't be used.
+    /// The head of the request is invalid.
     #[display("the request has no usable host")]
     Malformed,
-    /// The body is larger than the operators allow.
+    /// The body exceeds the configured limit.
     #[display("the body is too large")]
     TooLarge,
-    /// The body didn't arrive in time. Nothing was sent on.
+    /// The body was not received in time. Nothing was sent to an endpoint.
     #[display("the body did not arrive in time")]
     SlowBody,
-    /// No route takes the request.
+    /// No route matches the request.
     #[display("no route")]
     NoRoute,
     /// The key is missing or unknown.
     #[display("the key is missing or unknown")]
     NoKey,
-    /// This entry doesn't know yet what is in force.
+    /// This entry's configuration is missing or may be outdated.
     #[display("the configuration is not known well enough")]
     NotFresh,
-    /// No endpoint took the request, which has not run.
+    /// No endpoint accepted the request, which has not run.
     #[display("no endpoint took the request")]
     NotRun,
     /// The endpoints are so busy that the request would be late.
     #[display("the endpoints are busy")]
     Busy,
-    /// The endpoints take nothing more for now, as they say themselves.
+    /// By their own reports, the endpoints accept no more requests for now.
     #[display("the endpoints take no more requests for now")]
     Throttled {
-        /// The time until the first of them may get a request.
+        /// The time until the first endpoint may get a request.
         wait: Duration,
     },
-    /// This entry has no memory for it.
+    /// The memory budget of this entry is exhausted.
     #[display("the entry has no memory for the request")]
     NoMemory,
-    /// The request has ended endpoints that ran it, and has not been sent to another.
+    /// The request is quarantined: it crashed endpoints that ran it and was not sent to
+    /// another one.
     #[display("the request ends the endpoints that run it")]
     Held,
-    /// This entry stops.
+    /// This entry is stopping.
     #[display("the entry stops")]
     Stopping,
-    /// The time is up; whether the request ran is open.
+    /// The deadline passed; the request may have run.
     #[display("the time is up")]
     TimeUp,
-    /// The answer was lost or spoilt; whether the request ran is open.
+    /// The response was lost or invalid; the request may have run.
     #[display("the answer was lost")]
     Lost,
 }
 
 impl Refusal {
-    /// Returns the status that callers get.
+    /// Returns the HTTP status of the response.
     #[must_use]
     pub const fn status(self) -> StatusCode {
         match self {
@@ -92,8 +93,8 @@
         }
     }
 
-    /// Tells whether the request has not run, so that the caller may send it
-    /// again after a pause.
+    /// Returns whether the request has not run, in which case the caller may retry
+    /// after a pause.
     #[must_use]
     pub const fn is_retryable(self) -> bool {
         matches!(
@@ -109,9 +110,9 @@
         )
     }
 
-    /// Returns when a caller that has `left` should come back, spread by `draw`
-    /// from 0 to 1, so that those who were refused together don't return
-    /// together.
+    /// Returns the time after which a caller with the time budget `left` should retry.
+    /// `draw`, a random number from 0 to 1, spreads the retries of callers that were
+    /// refused together.
     #[must_use]
     pub fn retry_after(self, left: Duration, draw: f64) -> Duration {
         let spread = 0.5 + draw.clamp(0.0, 1.0) / 2.0;
@@ -120,15 +121,15 @@
                 let recovery = left.mul_f64(RECOVERY_FRACTION).min(RECOVERY_MAX);
                 recovery.mul_f64(0.5 + spread / 2.0).max(RETRY_AFTER_MIN)
             }
-            // One request is let in then, so that the others come after it.
+            // One request is admitted at that time; the others should arrive after it.
             Self::Throttled { wait } => wait.max(RETRY_AFTER_MIN).mul_f64(0.5 + spread),
-            // Coming back sooner helps nobody.
+            // An earlier retry would be refused as well.
             Self::Held => quarantine::QUARANTINE_TIME,
             _ => RETRY_AFTER_MIN.mul_f64(spread),
         }
     }
 
-    /// Returns the answer.
+    /// Creates the response.
     pub fn response<D: Dialect>(self, after: Duration) -> Response<Bytes> {
         let mut response = Response::new(D::error_body(&self.to_string()));
         *response.status_mut() = self.status();
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a process runs.
+//! Reloads settings while a process is running.
 
 use std::fmt::Display;
 use std::io;
@@ -10,11 +10,12 @@
 use crate::knowledge::Knowledge;
 use crate::options::Options;
 
-/// How often settings are read without a signal; they may change silently, and
-/// reading two kilobytes costs some microseconds.
+/// The interval at which settings are read without a signal. They may change
+/// without one, and reading two kilobytes takes some microseconds.
 const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Calls `changed` at each signal to reload (`true`) and in between.
+/// Calls `changed` at each reload signal (with `true`) and at regular
+/// intervals.
 ///
 /// # Errors
 ///
@@ -30,7 +31,7 @@
     }
 }
 
-/// Takes new settings in whenever `read` returns other ones.
+/// Applies new settings whenever the result of `read` changes.
 pub(crate) async fn run<E: Display>(
     knowledge: Rc<Knowledge>,
     read: impl Fn() -> Result<Options, E>,
@@ -41,12 +42,12 @@
         match &read {
             Ok(new) if *new == *knowledge.options() => {
                 if signalled {
-                    tracing::info!("reload asked for, settings are the same");
+                    tracing::info!("reload requested, settings unchanged");
                 }
             }
             Ok(new) => apply(&knowledge, new.clone()),
             Err(error) if signalled || !failing => {
-                tracing::error!(%error, "settings not taken, the last good ones stay");
+                tracing::error!(%error, "settings not taken, the previous ones stay in force");
             }
             Err(_) => {}
         }
@@ -63,7 +64,7 @@
         || old.peers != new.peers
         || old.metrics != new.metrics;
     if addresses_changed {
-        tracing::warn!("new addresses are used from the next start on");
+        tracing::warn!("changed addresses take effect at the next start");
     }
     tracing::info!(grace = ?new.grace, revocation = ?new.revocation_bound, retry_ratio = new.retry_ratio, "settings reloaded");
     knowledge.set_options(new);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read whole and judged.
+//! A caller's request, completely received and resolved.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -20,14 +20,14 @@
 use crate::refusal::Refusal;
 use crate::route::Route;
 
-/// The time that a caller waits who doesn't say, unless the route is shorter.
+/// The time budget of a caller that states none, unless the route's timeout is shorter.
 const DEFAULT_TIME_BUDGET: Duration = Duration::from_mins(1);
-/// The least urgent value that endpoints take.
+/// The lowest urgency that endpoints accept.
 const URGENCY_MAX: u32 = 9;
-/// How many ranks of routes fit into one rank of an organisation.
+/// The number of route priorities within one priority of an organisation.
 const URGENCY_STEP: u32 = 3;
 
-/// The headers that concern one connection only.
+/// The hop-by-hop headers, which apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 6] = [
     header::CONNECTION,
     header::PROXY_AUTHORIZATION,
@@ -36,28 +36,28 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// The same, without a constant of the library.
+/// Hop-by-hop headers for which the library has no constant.
 const HOP_BY_HOP_NAMES: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// What a request's head led to, before its body is read.
+/// What a request's head resolves to in the configuration.
 #[derive(Debug)]
 pub(crate) struct Resolved {
     pub(crate) route: Route,
     pub(crate) service: String,
     pub(crate) organisation: Option<Organisation>,
-    /// The regions whose endpoints may get it, `None` for all.
+    /// The regions whose endpoints may get the request; `None` for all.
     pub(crate) allowed_regions: Option<Vec<String>>,
 }
 
-/// A caller's request, read whole and judged.
+/// A caller's request, completely received and resolved.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) method: Method,
     pub(crate) target: PathAndQuery,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The memory that it takes up.
-    #[expect(dead_code, reason = "it is free again once the call is dropped")]
+    /// The memory reserved for the request.
+    #[expect(dead_code, reason = "dropping the call releases the memory")]
     pub(crate) reservation: Reservation,
     pub(crate) head: Head,
     pub(crate) resolved: Resolved,
@@ -65,9 +65,9 @@
     pub(crate) has_returned: bool,
     pub(crate) version: u64,
     pub(crate) arrived: Instant,
-    /// When the final answer is due.
+    /// When the final response is due.
     pub(crate) deadline: Instant,
-    /// Worked out only when it is asked for.
+    /// Computed on first use.
     pub(crate) fingerprint: OnceCell<Fingerprint>,
 }
 
@@ -97,8 +97,8 @@
     })
 }
 
-/// Returns the regions that both a route and an organisation allow, each of which allows all
-/// if it names none; `None` for all.
+/// Returns the regions that both a route and an organisation allow; `None` for all. Either
+/// of them allows all regions if it lists none.
 fn intersect(route: &[String], organisation: &[String]) -> Option<Vec<String>> {
     match (route.is_empty(), organisation.is_empty()) {
         (true, true) => None,
@@ -111,7 +111,7 @@
     }
 }
 
-/// Drops the headers that concern one connection only.
+/// Removes the hop-by-hop headers.
 pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<_> = headers
         .get_all(header::CONNECTION)
@@ -129,8 +129,7 @@
 }
 
 impl Call {
-    /// Returns when the final answer of a request that arrived at `arrived`
-    /// is due.
+    /// Returns the deadline of a request that arrived at `arrived`.
     pub(crate) fn deadline_of(route: &Route, head: &Head, arrived: Instant) -> Instant {
         arrived
             + head
@@ -139,7 +138,7 @@
                 .min(route.timeout)
     }
 
-    /// Returns what other attempts of this request have in common with it.
+    /// Returns the fingerprint that all attempts of this request share.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let host = self.headers.get(header::HOST);
@@ -153,8 +152,8 @@
         })
     }
 
-    /// Returns whether the caller comes for the first time, and how long it has waited
-    /// otherwise.
+    /// Returns whether this is a first attempt or a retry, and for a retry how long it has
+    /// waited.
     pub(crate) fn caller(&self, now: Instant) -> Caller {
         if self.has_returned {
             Caller::Returned {
@@ -165,8 +164,8 @@
         }
     }
 
-    /// Returns the urgency that endpoints are told: the organisation's rank
-    /// goes before the route's.
+    /// Returns the urgency that is sent to endpoints. The organisation's priority takes
+    /// precedence over the route's.
     fn urgency(&self) -> u8 {
         let route = self.resolved.route.priority.min(URGENCY_STEP - 1);
         let organisation = self.resolved.organisation.as_ref().and_then(|o| o.priority);
@@ -174,7 +173,7 @@
         u8::try_from(urgency.min(URGENCY_MAX)).unwrap_or(u8::MAX)
     }
 
-    /// Writes the request for an endpoint.
+    /// Creates the request that is sent to an endpoint.
     pub(crate) fn outgoing<D: Dialect>(
         &self,
         endpoint: &Endpoint,
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -1,65 +1,66 @@
-//! A route: which requests it takes and how they are treated.
+//! Routes: which requests they match and how these are handled.
 
 use std::time::Duration;
 
 use cactusnotch_derive::record;
 
-/// What may be done with a request that might have run already.
+/// Whether a request that may have run can be sent again.
 #[record]
 #[derive(Copy)]
 pub enum RetryPolicy {
-    /// It may run more than once.
+    /// The request may run more than once.
     Idempotent,
-    /// It runs at most once.
+    /// The request must run at most once.
     Never,
-    /// Its answer is a stream that another endpoint can resume after the last
-    /// event that arrived.
+    /// The response is a stream that another endpoint can resume after the last
+    /// event received.
     Resume,
 }
 
-/// A service that takes part of a route's requests.
+/// A service that gets part of a route's requests.
 #[record]
 pub struct Backend {
-    /// The service's name.
+    /// The name of the service.
     pub service: String,
-    /// Its part of the requests, in units of all weights together.
+    /// The weight of the service, relative to the sum of all weights.
     pub weight: u32,
 }
 
-/// Which requests a route takes and how they are treated.
+/// A rule that matches requests and states how they are handled.
 #[record]
 pub struct Route {
-    /// The name that operators gave it.
+    /// The configured name.
     pub name: String,
     /// The host name that a request must have.
     pub host: String,
-    /// How a request's path must begin; it begins and ends with a slash.
+    /// The prefix of a matching request's path, which begins and ends with a
+    /// slash.
     pub prefix: String,
-    /// What may be done with a request that might have run.
+    /// Whether a request that may have run can be sent again.
     pub retry_policy: RetryPolicy,
-    /// Whether answers are streams of events.
+    /// Whether responses are streams of events.
     pub streaming: bool,
-    /// The longest time until a final answer.
+    /// The longest time until the final response.
     pub timeout: Duration,
-    /// The time within which an answer is worth most.
+    /// The target for the latency of a response.
     pub target_latency: Duration,
-    /// The longest pause between events of a stream that is still on time.
+    /// The longest gap between events of a stream that is still on time.
     pub max_event_gap: Option<Duration>,
-    /// The rank of its requests; lower ones go first.
+    /// The priority of its requests; lower values take precedence.
     pub priority: u32,
     /// The most endpoints that one request may be sent to.
     pub max_attempts: u32,
     /// Whether requests need no key.
     pub anonymous: bool,
-    /// The regions whose endpoints may get its requests, none for all regions.
+    /// The regions whose endpoints may get the requests; empty for all.
     pub allowed_regions: Vec<String>,
-    /// The services that take its requests.
+    /// The services that get the requests.
     pub backends: Vec<Backend>,
 }
 
 impl Route {
-    /// Returns the service for a request whose draw is `draw`, a number that
-    /// is evenly spread over all of `u32`.
+    /// Returns the service for a request. `draw` is a random number that is
+    /// uniform over `u32`.
     #[must_use]
     pub fn service(&self, draw: u32) -> Option<&str> {
         let total: u64 = self.backends.iter().map(|b| u64::from(b.weight)).sum();
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -1,4 +1,4 @@
-//! A request at an endpoint, from the choice to the end of its answer.
+//! A request at an endpoint, from its selection to the end of the response.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -14,32 +14,32 @@
 use crate::journal::millis;
 use crate::knowledge::Knowledge;
 
-/// How long after its first piece a run has shown that it does no harm: two passes of the
-/// longest that streams on time allow. Endpoints that a request ends do so 50 ms after they
-/// begin to run it.
+/// How long after its first piece a run is considered harmless: twice the longest forward
+/// pass at which streams are on time. Requests that crash endpoints do so within 50 ms of
+/// the start of the run.
 const HARMLESS_AFTER: Duration = Duration::from_millis(250);
 
-/// An endpoint that holds the request, counted there until it is dropped.
+/// A request counted at an endpoint until this is dropped.
 #[derive(Debug)]
 pub(crate) struct Running {
     pub(crate) knowledge: Rc<Knowledge>,
-    /// The request's id, for the log.
+    /// The id of the request, for the log.
     pub(crate) id: Option<String>,
     pub(crate) service: String,
     pub(crate) address: SocketAddr,
     pub(crate) attempt: Attempt,
     pub(crate) end: End,
     pub(crate) pieces: u32,
-    /// What was expected when the endpoint was chosen.
+    /// The prediction at the time the endpoint was selected.
     pub(crate) forecast: Forecast,
-    /// When it was sent, if it was.
+    /// When the request was sent; `None` before.
     pub(crate) sent: Option<Instant>,
-    /// How long its first piece took.
+    /// The time from sending to the first piece.
     pub(crate) first: Option<Duration>,
 }
 
 impl Running {
-    /// Notes a piece of the answer.
+    /// Records a piece of the response.
     pub(crate) fn piece(&mut self, now: Instant) {
         self.pieces += 1;
         if self.pieces == 1 {
@@ -51,20 +51,20 @@
         }
     }
 
-    /// Notes that the answer is whole.
+    /// Records that the response is complete.
     pub(crate) const fn whole(&mut self) {
         self.end = End::Answered {
             pieces: self.pieces,
         };
     }
 
-    /// Notes that the endpoint failed.
+    /// Records that the endpoint failed.
     pub(crate) const fn failed(&mut self) {
         self.end = End::Failed;
     }
 
-    /// Returns what there is to be examined when the connection of this run has broken: had
-    /// it given something for a while, it would not be what ends its endpoint.
+    /// Returns the run to be probed for a crash after its connection broke; `None` if it
+    /// had sent data for so long that it is not the cause of a crash.
     pub(crate) fn broken_run(&self, now: Instant) -> Option<BrokenRun> {
         let sent = self.sent?;
         let given = self.first.map(|first| sent + first);
@@ -78,7 +78,7 @@
         })
     }
 
-    /// Writes the line that compares what was expected with what came.
+    /// Logs the predicted and the actual times of the run.
     fn log(&self, now: Instant) {
         let Some(sent) = self.sent else {
             return;
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The addresses that an entry listens on.
+//! The listeners of an entry.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,14 +22,14 @@
 use crate::knowledge::Knowledge;
 use crate::tcp;
 
-/// How long callers keep a list of addresses: short, so that they leave a
-/// stopping entry soon, yet their questions stay few.
+/// How long callers cache a list of addresses: short enough to leave a stopping entry
+/// soon, long enough to keep the rate of queries low.
 const ADDRESS_TTL: Duration = Duration::from_secs(1);
-/// The pause after a connection could not be accepted, for want of
-/// descriptors as a rule.
+/// The pause after a connection could not be accepted, usually because file descriptors
+/// ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts connections for as long as the process lives.
+/// Accepts connections until the process exits.
 pub(crate) async fn accept<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = ()> + 'static,
@@ -38,7 +38,7 @@
         match listener.accept().await {
             Ok((stream, _)) => match tcp::tune(&stream) {
                 Ok(()) => drop(tokio::task::spawn_local(serve(stream))),
-                Err(error) => tracing::debug!(%error, "connection closed at once"),
+                Err(error) => tracing::debug!(%error, "socket options not set, connection closed"),
             },
             Err(error) => {
                 tracing::warn!(%error, "connection not accepted");
@@ -63,7 +63,7 @@
     .await;
 }
 
-/// Answers questions for readiness and for addresses.
+/// Serves queries for readiness and for addresses.
 pub(crate) async fn queries<D: Dialect>(knowledge: Rc<Knowledge>, listener: TcpListener) {
     accept(listener, |stream| {
         let knowledge = Rc::clone(&knowledge);
@@ -74,7 +74,7 @@
     .await;
 }
 
-/// Serves the metrics of a process on `listener` for as long as it lives.
+/// Serves the metrics of a process on `listener` until the process exits.
 pub async fn metrics(exporter: Exporter, listener: TcpListener) {
     accept(listener, |stream| {
         let exporter = exporter.clone();
@@ -85,7 +85,7 @@
     .await;
 }
 
-/// Answers the requests of one connection from memory.
+/// Serves the requests of one connection with immediate responses.
 pub(crate) async fn answer(
     stream: TcpStream,
     respond: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>>,
@@ -100,8 +100,8 @@
     }
 }
 
-/// Returns the regions whose entries a caller may be sent to, `None` for all: those of the
-/// host's routes, if any is bound to some, and the caller's own.
+/// Returns the regions whose entries a caller may use; `None` for all. These are the
+/// regions allowed by the host's routes, if any restricts them, and the caller's own.
 fn entry_regions(knowledge: &Knowledge, query: &AddressQuery) -> Option<Vec<String>> {
     let configuration = knowledge.configuration()?;
     let regions = configuration.homes(query.host.as_deref()?)?;
@@ -141,8 +141,8 @@
     let peers = knowledge.peers.borrow();
     let mut list = peers.list_within(query.data_centre.as_deref(), ready, is_allowed, now);
     if list.is_empty() && serving && own_is_allowed {
-        // While the store is away no entry is ready, and each still serves
-        // what needs no fresh proof.
+        // While the store is unavailable no entry is ready, but each still serves requests
+        // that don't require an up-to-date key.
         list.push(options.listen);
     }
     if list.is_empty() {
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop, and the reload of settings.
+//! Shuts an entry down gracefully.
 
 use std::io;
 use std::rc::Rc;
@@ -13,16 +13,17 @@
 use crate::listing;
 use crate::store::Codec;
 
-/// How long requests are still taken after a stop was asked for: some callers
-/// keep a list of addresses three times as long as it says. Later ones are
-/// refused, since they might not end in time.
+/// How long requests are still accepted after a stop was requested: some callers cache
+/// a list of addresses for three times its stated lifetime. Later requests are refused,
+/// since they might not complete in time.
 const ACCEPT_TIME: Duration = Duration::from_secs(3);
-/// What is kept free at the end of the time for a stop.
+/// The margin kept at the end of the stop's grace period.
 const END_MARGIN: Duration = Duration::from_millis(500);
-/// How often a stopping entry looks whether its last request has ended.
+/// The interval at which a stopping entry checks whether its last request has
+/// completed.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits for the signal to stop, and then until the process may end.
+/// Waits for a signal to stop, then until the process may exit.
 ///
 /// # Errors
 ///
@@ -56,13 +57,13 @@
     Ok(())
 }
 
-/// Takes this entry out of the store, and again if that came back from an older copy.
+/// Removes this entry from the store, again after each restore from an older copy.
 async fn withdraw<C: Codec>(knowledge: Rc<Knowledge>) {
     let mut store = knowledge.store::<C>();
     let host = knowledge.entry().host;
     loop {
         if let Err(error) = store.withdraw(&host).await {
-            tracing::warn!(%error, "entry not withdrawn");
+            tracing::warn!(%error, "entry not removed from the store");
         }
         knowledge.eras.changed().await;
     }
--- a/crates/gateway/src/tcp.rs
+++ b/crates/gateway/src/tcp.rs
@@ -1,4 +1,4 @@
-//! Socket options that all connections share.
+//! Socket options shared by all connections.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -7,22 +7,22 @@
 use socket2::{Domain, Protocol, SockRef, Socket, TcpKeepalive, Type};
 use tokio::net::{TcpListener, TcpStream};
 
-/// How long sent bytes may stay unacknowledged before a connection counts as
-/// broken. Hosts behind a partition don't answer at all; one second is far
-/// above any round trip within a region and below callers' patience.
+/// How long sent data may stay unacknowledged before a connection counts as broken.
+/// Hosts behind a network partition don't respond at all. One second is far above any
+/// round trip within a region and below callers' time budgets.
 const UNACKNOWLEDGED_MAX: Duration = Duration::from_secs(1);
-/// How long a quiet connection goes unprobed.
+/// How long a connection may be idle before it is probed.
 const PROBE_AFTER: Duration = Duration::from_secs(1);
-/// The time between probes of a quiet connection.
+/// The interval between probes of an idle connection.
 const PROBE_EVERY: Duration = Duration::from_secs(1);
-/// The unanswered probes after which a quiet connection counts as broken.
+/// The number of unanswered probes after which an idle connection counts as broken.
 const PROBES_MAX: u32 = 2;
-/// Connections that wait to be accepted. A full queue costs a caller seconds,
-/// since its opening packet is dropped.
+/// The length of the accept queue. If it is full, the SYN packet is dropped and the
+/// caller loses seconds.
 const BACKLOG: i32 = 1024;
 
-/// Makes a connection notice a silent peer within two to three seconds, and
-/// send small writes at once.
+/// Makes a connection detect an unresponsive peer within two to three seconds, and
+/// disables Nagle's algorithm, which delays small writes.
 ///
 /// # Errors
 ///
@@ -38,14 +38,14 @@
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Opens a tuned connection to `peer` within `limit`. It is reset when it is closed:
-/// what a call has written is then dropped if it hasn't arrived yet. A host that stood
-/// still would otherwise read requests whose callers have long left, and carry out
-/// orders that were given up.
+/// Opens a tuned connection to `peer` within `limit`. Closing it resets the connection,
+/// which discards written data that has not arrived yet. A suspended host would
+/// otherwise read requests whose callers disconnected long ago, and carry out orders
+/// that were cancelled.
 ///
 /// # Errors
 ///
-/// Returns the error of the connection, or that it took too long.
+/// Returns the error of the connection, or a timeout.
 pub async fn connect(peer: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
     let stream = tokio::time::timeout(limit, TcpStream::connect(peer)).await??;
     tune(&stream)?;
@@ -53,7 +53,7 @@
     Ok(stream)
 }
 
-/// Listens on `address`, also if a former process has just left it.
+/// Listens on `address`, even if a former process has just released it.
 ///
 /// # Errors
 ///
--- a/crates/gateway/src/time_budget.rs
+++ b/crates/gateway/src/time_budget.rs
@@ -1,4 +1,4 @@
-//! How long the callers of each route wait.
+//! Estimates the time budget of each route's callers, to detect returning callers.
 
 use std::time::Duration;
 
@@ -6,22 +6,23 @@
 
 use crate::route::Route;
 
-/// The part of the longest wait of a route's callers below which one has spent
-/// time elsewhere before. Callers that come for the first time state at least 0.85
-/// of it; those that were refused come back after a sixth of it or more.
+/// A caller whose stated time budget is below this fraction of the route's longest has
+/// spent time on an earlier attempt. First attempts state at least 0.85 of the longest;
+/// callers that were refused return after a sixth of it or more.
 const RETURNED_RATIO: f64 = 0.84;
-/// What is kept of the longest wait with each request, so that callers who state
-/// less than former ones are known for first attempts after some hundred.
+/// The factor by which the longest time budget decays with each request. If the callers
+/// of a route reduce their time budget, they count as first attempts again after some
+/// hundred requests.
 const DECAY: f64 = 0.9995;
 
-/// How long the callers of each route wait, by what they state.
+/// The longest time budget that callers of each route state.
 #[derive(Debug, Default)]
 pub struct TimeBudgets {
     longest: Table<String, Duration>,
 }
 
 impl TimeBudgets {
-    /// Forgets the routes that are no longer there.
+    /// Drops the routes that are not in `routes`.
     pub fn retain_routes(&mut self, routes: &[Route]) {
         let mut names: Vec<_> = routes.iter().map(|route| route.name.as_str()).collect();
         names.sort_unstable();
@@ -29,7 +30,8 @@
             .retain(|name, _| names.binary_search(&name.as_str()).is_ok());
     }
 
-    /// Takes what a caller states; returns whether it was refused before.
+    /// Records a caller's stated time budget; returns whether the caller was refused
+    /// before.
     pub fn has_returned(&mut self, route: &str, stated: Option<Duration>) -> bool {
         let Some(stated) = stated else {
             return false;
--- a/crates/gateway/src/wake.rs
+++ b/crates/gateway/src/wake.rs
@@ -1,7 +1,7 @@
-//! Waits for a moment on a host that may be suspended.
+//! Waits for a point in time on a host that may be suspended.
 //!
-//! The runtime's timers stand still while the host sleeps, the clock doesn't: what became due
-//! meanwhile is looked at again once it is noticed that the host has slept.
+//! The runtime's timers stand still while the host is suspended, but the clock advances. Once
+//! a suspension is detected, all waits are checked again.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,14 +12,14 @@
 
 use crate::journal::millis;
 
-/// The sleep from which on a host counts as suspended: more than the time that clocks read
-/// one after the other are apart, and less than matters to any bound here.
+/// The shortest difference that counts as a suspension. It is longer than the time between
+/// two successive clock readings, and short compared with all time bounds in this crate.
 const SUSPENSION_MIN: Duration = Duration::from_millis(100);
 
-/// Notices that the host has slept.
+/// Detects suspensions of the host.
 #[derive(Debug)]
 pub struct SuspendDetector {
-    /// What the clock and the runtime's timers showed when they were last compared.
+    /// The clock and the runtime's timers at the last comparison.
     last_reading: Cell<(Instant, tokio::time::Instant)>,
     suspended: Notify,
 }
@@ -34,8 +34,8 @@
 }
 
 impl SuspendDetector {
-    /// Compares the clock with the runtime's timers; tells whether the host has slept since
-    /// that was done last.
+    /// Compares the clock with the runtime's timers; returns whether the host was suspended
+    /// since the last call.
     pub fn check(&self) -> bool {
         let (clock, timers) = read();
         let (clock_before, timers_before) = self.last_reading.replace((clock, timers));
@@ -50,7 +50,7 @@
         true
     }
 
-    /// Waits until `moment`.
+    /// Waits until the clock reaches `moment`.
     pub async fn wait_until(&self, moment: Instant) {
         loop {
             let suspended = self.suspended.notified();
