--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -44,7 +44,7 @@
     /// The time until the request gets a slot.
     pub slot_wait: Duration,
     /// The time until the first event.
-    pub first_event: Duration,
+    pub first: Duration,
     /// The duration of a forward pass in the endpoint's group, if known.
     pub pass_time: Option<Duration>,
 }
@@ -65,7 +65,7 @@
     match caller {
         Caller::First => {
             let late = forecast.full
-                && forecast.first_event > targets.first_event.mul_f64(FIRST_EVENT_RATIO_MAX);
+                && forecast.first > targets.first_event.mul_f64(FIRST_EVENT_RATIO_MAX);
             !late && !sheds_for_pass_time(forecast, targets, draw)
         }
         // A returning caller can no longer be on time: it only gets capacity that first
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -55,7 +55,7 @@
     /// All endpoints are so full that the request would be late.
     Busy,
     /// The request is quarantined.
-    Quarantined,
+    Held,
 }
 
 /// Selects an endpoint and counts the request there.
@@ -75,7 +75,7 @@
         within: within.as_deref(),
     };
     if knowledge.holds(call, now).is_some() {
-        return Err(Unserved::Quarantined);
+        return Err(Unserved::Held);
     }
     knowledge.drop_missing(now);
     let mut fleet = knowledge.fleet.borrow_mut();
@@ -151,7 +151,7 @@
         full: choice.reason == choice::Reason::Full,
         slot_wait: choice.wait,
         utilisation: choice.fill,
-        first_event: choice.predicted,
+        first: choice.predicted,
         pass_time: knowledge.fleet.borrow().pass(choice.endpoint.as_str(), now),
     }
 }
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -138,10 +138,10 @@
                         continue;
                     }
                     Err(Unserved::Busy) if self.lifecycle.sent() == 0 => return Err(Refusal::Busy),
-                    Err(Unserved::Quarantined) if self.lifecycle.sent() == 0 => {
+                    Err(Unserved::Held) if self.lifecycle.sent() == 0 => {
                         return Err(Refusal::Held);
                     }
-                    Err(Unserved::Busy | Unserved::Quarantined) => {
+                    Err(Unserved::Busy | Unserved::Held) => {
                         return Err(self.lifecycle.exhausted());
                     }
                     Err(Unserved::None(error)) => return Err(self.refusal_without_endpoint(&error)),
@@ -238,7 +238,7 @@
     fn may_wait(&self, unserved: &Unserved) -> bool {
         let last = self.call.arrived + RETURNED_WAIT;
         let may_free_up = match unserved {
-            Unserved::Quarantined => false,
+            Unserved::Held => false,
             Unserved::None(choice::Error::Withheld { first, .. }) => {
                 first.is_some_and(|first| first < last)
             }
--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -118,7 +118,7 @@
     /// Has what is held and missing from the store's records written there, by the first
     /// entry of a data centre: the one that was to do so may have ended.
     pub(super) fn complete_records(&self, now: Instant) {
-        let held: Vec<_> = self.quarantine.borrow().quarantined(now).collect();
+        let held: Vec<_> = self.quarantine.borrow().all(now).collect();
         if held.is_empty() || self.peers.borrow().ready_before(now) > 0 {
             return;
         }
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -204,7 +204,7 @@
     }
 
     /// Returns the quarantined requests, each with the time left.
-    pub fn quarantined(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
+    pub fn all(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
         let left = move |row: &Row| row.quarantined_until?.checked_duration_since(now);
         let rows = self.rows.iter();
         rows.filter_map(move |(content, row)| Some((*content, left(row)?)))
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -89,13 +89,13 @@
             fill = self.forecast.utilisation,
             pass_ms = self.forecast.pass_time.map(millis),
             wait_ms = millis(self.forecast.slot_wait),
-            forecast_ms = millis(self.forecast.first_event),
+            forecast_ms = millis(self.forecast.first),
             first_ms = self.first.map(millis),
             ms = millis(now.saturating_duration_since(sent)),
             "send ended"
         );
         if let Some(first) = self.first {
-            let error = first.abs_diff(self.forecast.first_event);
+            let error = first.abs_diff(self.forecast.first);
             metrics::histogram!(metric::GATEWAY_FORECAST_ERROR).record(error);
         }
     }
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -18,14 +18,14 @@
     full: false,
     utilisation: 40,
     slot_wait: Duration::ZERO,
-    first_event: Duration::from_millis(170),
+    first: Duration::from_millis(170),
     pass_time: Some(Duration::from_millis(60)),
 };
 const FULL: Forecast = Forecast {
     full: true,
     utilisation: 108,
     slot_wait: Duration::from_millis(180),
-    first_event: Duration::from_millis(350),
+    first: Duration::from_millis(350),
     ..FREE
 };
 /// A draw that no chance to be refused is above.
@@ -48,7 +48,7 @@
 fn a_first_attempt_waits_for_a_slot_if_it_will_be_on_time() {
     assert!(admits(Caller::First, &FULL, &TARGETS, LUCKY));
     let late = Forecast {
-        first_event: Duration::from_millis(390),
+        first: Duration::from_millis(390),
         ..FULL
     };
     assert!(!admits(Caller::First, &late, &TARGETS, LUCKY));
