--- a/crates/gateway/src/admission.rs
+++ b/crates/gateway/src/admission.rs
@@ -71,10 +71,11 @@
         // A returning caller can no longer be on time: it only gets capacity that first
         // attempts leave free.
         Caller::Returned { waited } => {
-            let part = waited.div_duration_f64(RETURNED_WAIT).min(1.0);
-            let most =
-                RETURNED_UTILISATION + (RETURNED_UTILISATION_LAST - RETURNED_UTILISATION) * part;
-            f64::from(forecast.utilisation) <= most && !sheds_for_pass_time(forecast, targets, draw)
+            let fraction = waited.div_duration_f64(RETURNED_WAIT).min(1.0);
+            let utilisation_max = RETURNED_UTILISATION
+                + (RETURNED_UTILISATION_LAST - RETURNED_UTILISATION) * fraction;
+            f64::from(forecast.utilisation) <= utilisation_max
+                && !sheds_for_pass_time(forecast, targets, draw)
         }
     }
 }
@@ -82,10 +83,10 @@
 /// Returns whether a stream is shed to keep forward passes short: one more stream would
 /// delay all those that are running.
 fn sheds_for_pass_time(forecast: &Forecast, targets: &Targets, draw: f64) -> bool {
-    let Some((pass, pause)) = forecast.pass_time.zip(targets.max_event_gap) else {
+    let Some((pass, gap)) = forecast.pass_time.zip(targets.max_event_gap) else {
         return false;
     };
-    let part = pass.as_secs_f64() / pause.as_secs_f64();
-    let refused = (part - PASS_RATIO_SHED_SOME) / (PASS_RATIO_SHED_ALL - PASS_RATIO_SHED_SOME);
-    refused > 0.0 && draw < refused
+    let ratio = pass.as_secs_f64() / gap.as_secs_f64();
+    let shed = (ratio - PASS_RATIO_SHED_SOME) / (PASS_RATIO_SHED_ALL - PASS_RATIO_SHED_SOME);
+    shed > 0.0 && draw < shed
 }
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -37,11 +37,15 @@
     /// retries that may be.
     fn sums(&self, now: Instant, window: Duration) -> (u32, u32) {
         let within = |at: Instant| now.saturating_duration_since(at) <= window;
-        self.parts
-            .iter()
-            .fold((0, 0), |(first, again), &(at, new, repeated)| {
-                (first + if within(at) { new } else { 0 }, again + repeated)
-            })
+        self.parts.iter().fold(
+            (0, 0),
+            |(requests, retries), &(at, new_requests, new_retries)| {
+                (
+                    requests + if within(at) { new_requests } else { 0 },
+                    retries + new_retries,
+                )
+            },
+        )
     }
 }
 
@@ -87,8 +91,8 @@
     /// Counts a request.
     pub fn record_request(&mut self, service: &str, now: Instant) {
         let row = self.row(service, now);
-        if let Some((_, first, _)) = row.parts.back_mut() {
-            *first += 1;
+        if let Some((_, requests, _)) = row.parts.back_mut() {
+            *requests += 1;
         }
     }
 
@@ -96,8 +100,8 @@
     pub fn can_retry(&mut self, service: &str, now: Instant) -> bool {
         let (ratio, window) = (self.ratio, self.window);
         let allowance = f64::from(self.allowance);
-        let (first, again) = self.row(service, now).sums(now, window);
-        f64::from(again + 1) <= ratio * f64::from(first) + allowance
+        let (requests, retries) = self.row(service, now).sums(now, window);
+        f64::from(retries + 1) <= ratio * f64::from(requests) + allowance
     }
 
     /// Charges a retry to the budget; returns whether the budget allowed it.
@@ -105,8 +109,8 @@
         if !self.can_retry(service, now) {
             return false;
         }
-        if let Some((_, _, again)) = self.row(service, now).parts.back_mut() {
-            *again += 1;
+        if let Some((_, _, retries)) = self.row(service, now).parts.back_mut() {
+            *retries += 1;
         }
         true
     }
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -19,7 +19,7 @@
 /// leaves it open.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A run whose connection failed before the endpoint had sent anything.
+/// A run whose connection failed before, or shortly after, its first piece.
 #[derive(Debug)]
 pub(crate) struct BrokenRun {
     pub(crate) endpoint: String,
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -43,7 +43,7 @@
     pub(crate) failure: Failure,
     /// The cause, for the log.
     pub(crate) cause: String,
-    /// The run, if its connection failed before the endpoint had sent anything.
+    /// The run to be probed for a crash of its endpoint, if its connection failed.
     pub(crate) broken_run: Option<BrokenRun>,
 }
 
@@ -213,7 +213,7 @@
 ) -> Result<Lease, Failed> {
     // The endpoint may already have closed a kept connection, or have left an extra
     // response on it. A request that must not be sent twice is not risked on one, nor
-    // is the last attempt of one that may be.
+    // is a retry, which may be the last attempt.
     let reuse = match call.resolved.route.retry_policy {
         RetryPolicy::Idempotent | RetryPolicy::Resume if first => Reuse::Allowed,
         RetryPolicy::Never | RetryPolicy::Idempotent | RetryPolicy::Resume => Reuse::Never,
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -151,7 +151,7 @@
                 Err(failed) => failed,
             };
             self.probe_crash(&mut failed).await;
-            self.after_failure(&failed)?;
+            self.decide_next(&failed)?;
         }
     }
 
@@ -284,7 +284,7 @@
     }
 
     /// Decides how to continue after a send without a usable response.
-    fn after_failure(&mut self, failed: &Failed) -> Result<(), Refusal> {
+    fn decide_next(&mut self, failed: &Failed) -> Result<(), Refusal> {
         let mut lifecycle = self.lifecycle;
         let next = lifecycle.after_failure(failed.failure, || self.affordable());
         self.lifecycle = lifecycle;
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -30,7 +30,8 @@
 /// requests that had just begun.
 const ROWS_MAX: usize = 4_096;
 
-/// A crash of an endpoint while it ran a request for which it had not sent anything.
+/// A crash of an endpoint while it ran a request for which it had sent nothing or had only
+/// begun to send.
 #[record]
 pub struct Crash {
     /// The incarnation of the endpoint.
@@ -184,8 +185,8 @@
         self.cleared.get(&content).is_some_and(|until| *until > now)
     }
 
-    /// Discards the knowledge of records after the store was restored from an older copy,
-    /// which may lack all of them.
+    /// Marks all records as missing after the store was restored from an older copy, which may
+    /// lack all of them.
     pub fn forget_records(&mut self) {
         for (_, row) in self.rows.iter_mut() {
             row.recorded = false;
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -9,9 +9,10 @@
 use crate::dialect::Dialect;
 use crate::quarantine;
 
-/// The shortest time after which a refused caller should retry. It applies when another
-/// entry can serve the request: the caller needs this time to find one.
-pub const RETRY_AFTER_MIN: Duration = Duration::from_millis(300);
+/// The time after which a refused caller should retry if another entry can serve the
+/// request, before spreading: the caller needs this time to find one. Other refusals
+/// use it as a lower bound.
+pub const RETRY_AFTER: Duration = Duration::from_millis(300);
 /// The fraction of a caller's remaining time budget after which it should retry if
 /// endpoints have to recover first. Callers wait for at most a third of it. A group of
 /// ranks is back two seconds after a power loss of all hosts, and a stream that fills
@@ -119,13 +120,13 @@
         match self {
             Self::Busy | Self::NotRun => {
                 let recovery = left.mul_f64(RECOVERY_FRACTION).min(RECOVERY_MAX);
-                recovery.mul_f64(0.5 + spread / 2.0).max(RETRY_AFTER_MIN)
+                recovery.mul_f64(0.5 + spread / 2.0).max(RETRY_AFTER)
             }
             // One request is admitted at that time; the others should arrive after it.
-            Self::Throttled { wait } => wait.max(RETRY_AFTER_MIN).mul_f64(0.5 + spread),
+            Self::Throttled { wait } => wait.max(RETRY_AFTER).mul_f64(0.5 + spread),
             // An earlier retry would be refused as well.
             Self::Held => quarantine::QUARANTINE_TIME,
-            _ => RETRY_AFTER_MIN.mul_f64(spread),
+            _ => RETRY_AFTER.mul_f64(spread),
         }
     }
 
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -88,9 +88,9 @@
         None => return Err(Refusal::NoKey),
     };
     let service = route.service(draw).ok_or(Refusal::NoRoute)?;
-    let bound = organisation.map_or_else(Vec::new, |o| o.homes.clone());
+    let organisation_regions = organisation.map_or_else(Vec::new, |o| o.homes.clone());
     Ok(Resolved {
-        allowed_regions: intersect(&route.allowed_regions, &bound),
+        allowed_regions: intersect(&route.allowed_regions, &organisation_regions),
         service: service.to_owned(),
         organisation: organisation.cloned(),
         route: route.clone(),
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -142,7 +142,7 @@
     let mut list = peers.list_within(query.data_centre.as_deref(), ready, is_allowed, now);
     if list.is_empty() && serving && own_is_allowed {
         // While the store is unavailable no entry is ready, but each still serves requests
-        // that don't require an up-to-date key.
+        // that need no recent confirmation of the keys.
         list.push(options.listen);
     }
     if list.is_empty() {
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -44,7 +44,7 @@
     knowledge.stopping.set(Some(began));
     tracing::info!(in_flight = knowledge.in_flight.get(), "stop asked for");
     listing::announce_stop(&knowledge, &socket);
-    tokio::task::spawn_local(withdraw::<C>(Rc::clone(&knowledge)));
+    tokio::task::spawn_local(deregister::<C>(Rc::clone(&knowledge)));
     tokio::time::sleep(ACCEPT_TIME.min(options.grace / 2)).await;
     knowledge.closing.set(true);
     closing.send_replace(true);
@@ -58,7 +58,7 @@
 }
 
 /// Removes this entry from the store, again after each restore from an older copy.
-async fn withdraw<C: Codec>(knowledge: Rc<Knowledge>) {
+async fn deregister<C: Codec>(knowledge: Rc<Knowledge>) {
     let mut store = knowledge.store::<C>();
     let host = knowledge.entry().host;
     loop {
