--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -9,7 +9,7 @@
 use cactusnotch_telemetry::metric;
 
 use crate::content::Fingerprint;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::quarantine;
 use crate::request::Call;
 use crate::tcp;
@@ -29,15 +29,15 @@
 
 /// Probes whether the endpoint crashed or only the connection failed, and records a
 /// crash for the request. The probe continues if the caller disconnects meanwhile.
-pub(crate) async fn probe(knowledge: &Rc<Knowledge>, call: &Call, broken_run: BrokenRun) {
-    let (knowledge, content) = (Rc::clone(knowledge), call.fingerprint());
-    let probed = tokio::task::spawn_local(probe_endpoint(knowledge, content, broken_run));
+pub(crate) async fn probe(shared: &Rc<SharedState>, call: &Call, broken_run: BrokenRun) {
+    let (shared, content) = (Rc::clone(shared), call.fingerprint());
+    let probed = tokio::task::spawn_local(probe_endpoint(shared, content, broken_run));
     if let Err(error) = probed.await {
         tracing::error!(%content, %error, "crash probe failed");
     }
 }
 
-async fn probe_endpoint(knowledge: Rc<Knowledge>, content: Fingerprint, broken_run: BrokenRun) {
+async fn probe_endpoint(shared: Rc<SharedState>, content: Fingerprint, broken_run: BrokenRun) {
     let at = clock::now();
     let Err(error) = tcp::connect(broken_run.address, PROBE_TIMEOUT).await else {
         return;
@@ -53,5 +53,5 @@
         sent: broken_run.sent,
         at,
     };
-    knowledge.note_crash(content, &crash, clock::now());
+    shared.note_crash(content, &crash, clock::now());
 }
--- a/crates/gateway/src/dialect.rs
+++ b/crates/gateway/src/dialect.rs
@@ -7,7 +7,7 @@
 use cactusnotch_derive::record;
 use http::{HeaderMap, Uri};
 
-use cactusnotch_throttle::Statement;
+use cactusnotch_throttle::Headers;
 
 /// The decoded headers of a caller's request.
 #[record]
@@ -51,7 +51,7 @@
     /// Whether the endpoint signed the response.
     pub signed: bool,
     /// The endpoint's own report of its state.
-    pub statement: Statement,
+    pub statement: Headers,
 }
 
 /// A caller's query for the addresses of entries.
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -17,14 +17,14 @@
 use crate::decide::{Failure, Lifecycle};
 use crate::dialect::Dialect;
 use crate::endpoint::Endpoint;
-use crate::fleet::Wish;
+use crate::fleet::Criteria;
 use crate::journal::millis;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::pool::{self, KeepAlive, Lease, Reuse};
 use crate::request::Call;
 use crate::route::RetryPolicy;
 use crate::running::Running;
-use cactusnotch_throttle::Stated;
+use cactusnotch_throttle::Header;
 
 /// The validated head of a response, with everything needed to read its body.
 #[derive(Debug)]
@@ -60,27 +60,27 @@
 
 /// Selects an endpoint and counts the request there.
 pub(crate) fn choose(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     now: Instant,
 ) -> Result<(Endpoint, Running), Unserved> {
     let service = &call.resolved.service;
     let regions = call.resolved.allowed_regions.as_ref();
-    let within = regions.map(|regions| knowledge.options().regions.data_centres(regions));
-    let wish = Wish {
+    let within = regions.map(|regions| shared.options().regions.data_centres(regions));
+    let criteria = Criteria {
         tokens: call.head.prompt_tokens,
         tried,
         may_probe: call.resolved.route.retry_policy == RetryPolicy::Idempotent,
         within: within.as_deref(),
     };
-    if knowledge.holds(call, now).is_some() {
+    if shared.quarantined_for(call, now).is_some() {
         return Err(Unserved::Held);
     }
-    knowledge.drop_missing(now);
-    let mut fleet = knowledge.fleet.borrow_mut();
-    let mut rng = knowledge.rng.borrow_mut();
-    let chosen = fleet.start(service, &wish, now, &mut rng);
+    shared.drop_missing(now);
+    let mut fleet = shared.fleet.borrow_mut();
+    let mut rng = shared.rng.borrow_mut();
+    let chosen = fleet.start(service, &criteria, now, &mut rng);
     let (choice, attempt) = chosen.map_err(Unserved::None)?;
     let endpoint = fleet.get(choice.endpoint.as_str()).cloned();
     drop(fleet);
@@ -88,21 +88,21 @@
     let Some(endpoint) = endpoint else {
         return Err(Unserved::None(choice::Error::Unknown));
     };
-    let forecast = forecast(knowledge, &choice, now);
+    let forecast = forecast(shared, &choice, now);
     let running = Running {
-        knowledge: Rc::clone(knowledge),
+        shared: Rc::clone(shared),
         id: call.head.id.clone(),
         service: service.clone(),
         address: endpoint.address,
         attempt,
-        end: End::Withdrawn,
+        end: End::Inconclusive,
         pieces: 0,
         forecast,
         sent: None,
         first: None,
     };
     // Admission control applies to the first send only: a retry is worth no less.
-    let admitted = !tried.is_empty() || admits(knowledge, call, &forecast, now);
+    let admitted = !tried.is_empty() || admits(shared, call, &forecast, now);
     if admitted {
         Ok((endpoint, running))
     } else {
@@ -113,23 +113,23 @@
 /// Returns whether an untried endpoint has a free slot for the request, and the retry
 /// budget allows sending it there.
 pub(crate) fn may_move(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     now: Instant,
 ) -> bool {
     let service = &call.resolved.service;
-    if !knowledge.budgets.borrow_mut().can_retry(service, now) {
+    if !shared.budgets.borrow_mut().can_retry(service, now) {
         return false;
     }
-    let chosen = choose(knowledge, call, tried, now);
+    let chosen = choose(shared, call, tried, now);
     chosen.is_ok_and(|(_, running)| !running.forecast.full)
 }
 
 /// Waits until the request should move to another endpoint: nothing has arrived for
 /// [`STALL_TIME`], its endpoint is lost, and another one has a free slot.
 pub(crate) async fn wait_until_lost(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     endpoint: &name::Endpoint,
@@ -137,8 +137,8 @@
     tokio::time::sleep(STALL_TIME).await;
     loop {
         let now = clock::now();
-        let lost = knowledge.fleet.borrow().is_lost(endpoint.as_str(), now);
-        if lost && may_move(knowledge, call, tried, now) {
+        let lost = shared.fleet.borrow().is_lost(endpoint.as_str(), now);
+        if lost && may_move(shared, call, tried, now) {
             return;
         }
         tokio::time::sleep(POLL_INTERVAL).await;
@@ -146,24 +146,24 @@
 }
 
 /// Returns the predicted service of a request at the selected endpoint.
-fn forecast(knowledge: &Knowledge, choice: &choice::Choice, now: Instant) -> Forecast {
+fn forecast(shared: &SharedState, choice: &choice::Choice, now: Instant) -> Forecast {
     Forecast {
         full: choice.reason == choice::Reason::Full,
         slot_wait: choice.wait,
-        utilisation: choice.fill,
+        utilisation: choice.utilisation,
         first: choice.predicted,
-        pass_time: knowledge.fleet.borrow().pass(choice.endpoint.as_str(), now),
+        pass_time: shared.fleet.borrow().pass(choice.endpoint.as_str(), now),
     }
 }
 
 /// Returns whether admission control admits the request.
-fn admits(knowledge: &Knowledge, call: &Call, forecast: &Forecast, now: Instant) -> bool {
+fn admits(shared: &SharedState, call: &Call, forecast: &Forecast, now: Instant) -> bool {
     let route = &call.resolved.route;
     let targets = Targets {
         first_event: route.target_latency,
         max_event_gap: route.max_event_gap,
     };
-    let draw = knowledge.rng.borrow_mut().random();
+    let draw = shared.rng.borrow_mut().random();
     admission::admits(call.caller(now), forecast, &targets, draw)
 }
 
@@ -177,7 +177,7 @@
 
 /// Sends the request to `endpoint` and waits for the head of the response.
 pub(crate) async fn send<D: Dialect>(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     lifecycle: &mut Lifecycle,
     endpoint: &Endpoint,
@@ -185,11 +185,11 @@
     last_event: Option<u64>,
 ) -> Result<Reply, Failed> {
     let first = lifecycle.sent() == 0;
-    let mut lease = connect(knowledge, call, endpoint, first, &mut running).await?;
+    let mut lease = connect(shared, call, endpoint, first, &mut running).await?;
     let now = clock::now();
-    let admitted = knowledge.fleet.borrow_mut().admit(endpoint, now);
-    if let Err(barrier) = admitted {
-        return Err(Failed::new(Failure::Unsent, &barrier.to_string()));
+    let admitted = shared.fleet.borrow_mut().admit(endpoint, now);
+    if let Err(exclusion) = admitted {
+        return Err(Failed::new(Failure::Unsent, &exclusion.to_string()));
     }
     let request = call.outgoing::<D>(endpoint, last_event, now);
     lifecycle.record_send();
@@ -205,7 +205,7 @@
 }
 
 async fn connect(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     call: &Call,
     endpoint: &Endpoint,
     first: bool,
@@ -218,8 +218,8 @@
         RetryPolicy::Idempotent | RetryPolicy::Resume if first => Reuse::Allowed,
         RetryPolicy::Never | RetryPolicy::Idempotent | RetryPolicy::Resume => Reuse::Never,
     };
-    let max_open = knowledge.connections(&endpoint.service);
-    let pool = knowledge.pool.clone();
+    let max_open = shared.connections(&endpoint.service);
+    let pool = shared.pool.clone();
     pool.take(endpoint, max_open, reuse, clock::now())
         .await
         .map_err(|error| match error {
@@ -246,16 +246,16 @@
     let info = D::response_info(&head.headers, head.status, call.head.id.as_deref());
     let sent = running.sent;
     running
-        .knowledge
-        .take_statement(endpoint, &info, sent, clock::now());
+        .shared
+        .apply_statement(endpoint, &info, sent, clock::now());
     if info.refused && !info.foreign {
-        let cause = match info.statement.rest {
-            Stated::Value(rest) => format!(
+        let cause = match info.statement.backoff {
+            Header::Value(rest) => format!(
                 "the endpoint refused with {} and asks for {} ms of rest",
                 head.status,
                 millis(rest)
             ),
-            Stated::Nothing | Stated::Unreadable => {
+            Header::Absent | Header::Invalid => {
                 format!("the endpoint refused with {}", head.status)
             }
         };
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -22,7 +22,7 @@
 use crate::endpoint::Endpoint;
 use crate::exchange::{self, Failed, Reply, Unserved};
 use crate::intake;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::pieces;
 use crate::pump::Pump;
 use crate::refusal::Refusal;
@@ -34,12 +34,12 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(40);
 
 /// Counts a request as in flight until it is dropped.
-struct InFlight(Rc<Knowledge>);
+struct InFlight(Rc<SharedState>);
 
 impl InFlight {
-    fn new(knowledge: &Rc<Knowledge>) -> Self {
-        knowledge.in_flight.set(knowledge.in_flight.get() + 1);
-        Self(Rc::clone(knowledge))
+    fn new(shared: &Rc<SharedState>) -> Self {
+        shared.in_flight.set(shared.in_flight.get() + 1);
+        Self(Rc::clone(shared))
     }
 }
 
@@ -53,20 +53,20 @@
 
 /// Handles one request.
 pub(crate) async fn handle<D: Dialect>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     incoming: Request<Incoming>,
 ) -> Response<Outgoing> {
     let arrived = clock::now();
-    let guard = InFlight::new(&knowledge);
-    let call = match intake::admit::<D>(&knowledge, incoming, arrived).await {
+    let guard = InFlight::new(&shared);
+    let call = match intake::admit::<D>(&shared, incoming, arrived).await {
         Ok(call) => call,
         Err((refusal, id)) => {
-            account::log_refused(&knowledge, id.as_deref(), refusal, arrived);
-            return own_response::<D>(&knowledge, refusal, Duration::ZERO);
+            account::log_refused(&shared, id.as_deref(), refusal, arrived);
+            return own_response::<D>(&shared, refusal, Duration::ZERO);
         }
     };
     let service = call.resolved.service.clone();
-    knowledge
+    shared
         .budgets
         .borrow_mut()
         .record_request(&service, arrived);
@@ -75,7 +75,7 @@
         call.resolved.route.max_attempts,
     );
     let mut flight = Flight {
-        knowledge: Rc::clone(&knowledge),
+        shared: Rc::clone(&shared),
         call,
         lifecycle,
         tried: Vec::new(),
@@ -88,13 +88,13 @@
         // A response that is ready takes precedence over the deadline.
         biased;
         outcome = flight.drive::<D>() => Some(outcome),
-        () = knowledge.wake.wait_until(deadline) => None,
+        () = shared.wake.wait_until(deadline) => None,
     };
     let outcome = outcome.unwrap_or_else(|| Err(flight.lifecycle.timed_out(flight.sending)));
     match outcome {
         Ok(Answered::Whole(head, body)) => {
             flight.log(head.status.as_u16(), "whole");
-            relayed_response(&knowledge, head, Outgoing::Whole(Some(body)))
+            relayed_response(&shared, head, Outgoing::Whole(Some(body)))
         }
         Ok(Answered::Pieces(reply, first)) => flight.relay::<D>(*reply, first, guard),
         Err(refusal) => flight.refuse::<D>(refusal),
@@ -109,7 +109,7 @@
 
 /// A request in progress.
 struct Flight {
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     call: Call,
     lifecycle: Lifecycle,
     tried: Vec<name::Endpoint>,
@@ -131,7 +131,7 @@
                 return Err(self.lifecycle.timed_out(false));
             }
             let (endpoint, running) =
-                match exchange::choose(&self.knowledge, &self.call, &self.tried, clock::now()) {
+                match exchange::choose(&self.shared, &self.call, &self.tried, clock::now()) {
                     Ok(chosen) => chosen,
                     Err(unserved) if self.may_wait(&unserved) => {
                         self.wait().await;
@@ -167,11 +167,11 @@
             && before + 1 < self.call.resolved.route.max_attempts;
         self.sending = true;
         let last = self.call.head.last_event;
-        let (knowledge, call) = (&self.knowledge, &self.call);
+        let (shared, call) = (&self.shared, &self.call);
         let sent = tokio::select! {
             biased;
-            sent = exchange::send::<D>(knowledge, call, &mut self.lifecycle, endpoint, running, last) => Some(sent),
-            () = exchange::wait_until_lost(knowledge, call, &self.tried, &tried), if movable => None,
+            sent = exchange::send::<D>(shared, call, &mut self.lifecycle, endpoint, running, last) => Some(sent),
+            () = exchange::wait_until_lost(shared, call, &self.tried, &tried), if movable => None,
         };
         self.sending = false;
         sent.unwrap_or_else(|| {
@@ -213,7 +213,7 @@
         reply.running.piece(clock::now());
         if !status.is_server_error() {
             reply.running.whole();
-            self.knowledge.note_served(&self.call);
+            self.shared.note_served(&self.call);
         }
         reply.lease.put_back(reply.keep_alive, clock::now());
         Ok(Answered::Whole(reply.head, bytes))
@@ -247,7 +247,7 @@
     fn refusal_without_endpoint(&self, error: &choice::Error) -> Refusal {
         let id = self.call.head.id.as_deref();
         let service = self.call.resolved.service.as_str();
-        let evacuated = self.knowledge.evacuations.borrow().names().count();
+        let evacuated = self.shared.evacuations.borrow().names().count();
         let homes = self
             .call
             .resolved
@@ -259,7 +259,7 @@
         let choice::Error::Withheld { first, .. } = *error else {
             return exhausted;
         };
-        let wait = self.knowledge.throttled(id, service, first);
+        let wait = self.shared.record_throttled(id, service, first);
         match exhausted {
             Refusal::NotRun => Refusal::Throttled { wait },
             uncertain => uncertain,
@@ -267,7 +267,7 @@
     }
 
     fn affordable(&self) -> bool {
-        let mut budgets = self.knowledge.budgets.borrow_mut();
+        let mut budgets = self.shared.budgets.borrow_mut();
         budgets.try_spend(&self.call.resolved.service, clock::now())
     }
 
@@ -278,7 +278,7 @@
             // If the deadline passes during the probe, the request still counts as
             // possibly run.
             self.sending = true;
-            crash::probe(&self.knowledge, &self.call, broken_run).await;
+            crash::probe(&self.shared, &self.call, broken_run).await;
             self.sending = false;
         }
     }
@@ -308,7 +308,7 @@
         let length = head.headers.get(header::CONTENT_LENGTH);
         let remaining = length.and_then(|length| length.to_str().ok()?.parse().ok());
         let response = relayed_response(
-            &self.knowledge,
+            &self.shared,
             head,
             Outgoing::Pieces {
                 receiver,
@@ -316,7 +316,7 @@
             },
         );
         let Self {
-            knowledge,
+            shared,
             call,
             lifecycle,
             tried,
@@ -324,7 +324,7 @@
         } = self;
         let status = response.status().as_u16();
         let pump = Pump {
-            knowledge,
+            shared,
             call,
             lifecycle,
             tried,
@@ -334,7 +334,7 @@
         tokio::task::spawn_local(async move {
             let (end, pump) = pump.run::<D>(reply, first).await;
             account::log_ended(
-                &pump.knowledge,
+                &pump.shared,
                 &pump.call,
                 &pump.tried,
                 status,
@@ -351,33 +351,33 @@
         if let Some((head, body)) = self.failure.take() {
             let outcome = format!("error response of an endpoint relayed after: {refusal}");
             self.log(head.status.as_u16(), &outcome);
-            return relayed_response(&self.knowledge, head, Outgoing::Whole(Some(body)));
+            return relayed_response(&self.shared, head, Outgoing::Whole(Some(body)));
         }
         self.log(refusal.status().as_u16(), &refusal.to_string());
         let remaining = self.call.deadline.left();
-        own_response::<D>(&self.knowledge, refusal, remaining)
+        own_response::<D>(&self.shared, refusal, remaining)
     }
 
     fn log(&self, status: u16, outcome: &str) {
-        account::log_ended(&self.knowledge, &self.call, &self.tried, status, outcome, 0);
+        account::log_ended(&self.shared, &self.call, &self.tried, status, outcome, 0);
     }
 }
 
 fn own_response<D: Dialect>(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     refusal: Refusal,
     remaining: Duration,
 ) -> Response<Outgoing> {
     let mut response = refusal
-        .response::<D>(refusal.retry_after(remaining, knowledge.rng.borrow_mut().random()))
+        .response::<D>(refusal.retry_after(remaining, shared.rng.borrow_mut().random()))
         .map(|body| Outgoing::Whole(Some(body)));
-    close_if_stopping(knowledge, &mut response);
+    close_if_stopping(shared, &mut response);
     response
 }
 
 /// Converts an endpoint's response for the caller.
 fn relayed_response(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     head: http::response::Parts,
     body: Outgoing,
 ) -> Response<Outgoing> {
@@ -385,12 +385,12 @@
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
     request::strip_hop_by_hop(response.headers_mut());
-    close_if_stopping(knowledge, &mut response);
+    close_if_stopping(shared, &mut response);
     response
 }
 
-fn close_if_stopping(knowledge: &Knowledge, response: &mut Response<Outgoing>) {
-    if knowledge.stopping.get().is_some() {
+fn close_if_stopping(shared: &SharedState, response: &mut Response<Outgoing>) {
+    if shared.stopping.get().is_some() {
         response
             .headers_mut()
             .insert(header::CONNECTION, http::HeaderValue::from_static("close"));
--- a/crates/gateway/src/intake.rs
+++ b/crates/gateway/src/intake.rs
@@ -12,14 +12,14 @@
 use rand::Rng;
 
 use crate::dialect::Dialect;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::memory::{Memory, Reservation};
 use crate::refusal::Refusal;
 use crate::request::{self, Call};
 
 /// Reads and resolves a request.
 pub(crate) async fn admit<D: Dialect>(
-    knowledge: &Rc<Knowledge>,
+    shared: &Rc<SharedState>,
     incoming: Request<Incoming>,
     arrived: Instant,
 ) -> Result<Call, (Refusal, Option<String>)> {
@@ -27,35 +27,35 @@
     let head = D::head(&parts.headers);
     let id = head.id.clone();
     let fail = |refusal| (refusal, id.clone());
-    let configuration = knowledge.configuration();
+    let configuration = shared.configuration();
     let limit = configuration
         .as_ref()
         .map_or(DEFAULT_BODY_MAX, |c| c.limits.body_bytes);
     let timeout = configuration
         .as_ref()
         .map_or(DEFAULT_BODY_TIMEOUT, |c| c.limits.idle_time);
-    let mut reservation = knowledge
+    let mut reservation = shared
         .memory
         .reserve()
         .ok_or_else(|| fail(Refusal::NoMemory))?;
-    let body = read_body(body, limit, timeout, &knowledge.memory, &mut reservation);
+    let body = read_body(body, limit, timeout, &shared.memory, &mut reservation);
     let body = body.await.map_err(fail)?;
-    if knowledge.closing.get() {
+    if shared.closing.get() {
         return Err(fail(Refusal::Stopping));
     }
-    if knowledge.lacks_evacuations() {
+    if shared.lacks_evacuations() {
         return Err(fail(Refusal::NotFresh));
     }
     let now = clock::now();
-    let fresh = knowledge.freshness.borrow().holds(now);
-    let configuration = knowledge
+    let fresh = shared.freshness.borrow().holds(now);
+    let configuration = shared
         .configuration()
         .ok_or_else(|| fail(Refusal::NotFresh))?;
     let host = parts
         .headers
         .get(header::HOST)
         .and_then(|host| host.to_str().ok());
-    let draw = knowledge.rng.borrow_mut().random();
+    let draw = shared.rng.borrow_mut().random();
     let resolved = request::resolve(&configuration, host, parts.uri.path(), &head, draw);
     let resolved = match resolved {
         // The missing route or key may be in a newer configuration that this
@@ -69,7 +69,7 @@
     request::strip_hop_by_hop(&mut headers);
     headers.remove(header::CONTENT_LENGTH);
     headers.remove(header::EXPECT);
-    let has_returned = knowledge
+    let has_returned = shared
         .time_budgets
         .borrow_mut()
         .has_returned(&resolved.route.name, head.time_budget);
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -15,7 +15,7 @@
 use crate::dialect::Dialect;
 use crate::events::Splitter;
 use crate::exchange::{self, Failed, Reply};
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::pieces::Sender;
 use crate::request::Call;
 use crate::route::RetryPolicy;
@@ -39,7 +39,7 @@
 
 /// A response that is being relayed.
 pub(crate) struct Pump {
-    pub(crate) knowledge: Rc<Knowledge>,
+    pub(crate) shared: Rc<SharedState>,
     pub(crate) call: Call,
     pub(crate) lifecycle: Lifecycle,
     pub(crate) tried: Vec<name::Endpoint>,
@@ -124,8 +124,8 @@
                 biased;
                 () = self.sender.closed() => return PartEnd::End(End::CallerLeft),
                 frame = body.frame() => frame,
-                () = self.knowledge.wake.wait_until(deadline) => return PartEnd::End(End::TimeUp),
-                () = exchange::wait_until_lost(&self.knowledge, &self.call, &self.tried, running.endpoint()),
+                () = self.shared.wake.wait_until(deadline) => return PartEnd::End(End::TimeUp),
+                () = exchange::wait_until_lost(&self.shared, &self.call, &self.tried, running.endpoint()),
                     if events.is_some() && self.lifecycle.may_retry() =>
                 {
                     running.failed();
@@ -158,7 +158,7 @@
             return PartEnd::broken("the stream ended within an event");
         }
         running.whole();
-        self.knowledge.note_served(&self.call);
+        self.shared.note_served(&self.call);
         lease.put_back(keep_alive, clock::now());
         PartEnd::End(End::Whole)
     }
@@ -168,18 +168,18 @@
     fn should_move(&self, endpoint: &name::Endpoint) -> bool {
         let now = clock::now();
         let is_straggler = || {
-            let fleet = self.knowledge.fleet.borrow();
+            let fleet = self.shared.fleet.borrow();
             fleet.is_straggler(endpoint.as_str(), now)
         };
         self.lifecycle.may_retry()
             && is_straggler()
-            && exchange::may_move(&self.knowledge, &self.call, &self.tried, now)
+            && exchange::may_move(&self.shared, &self.call, &self.tried, now)
     }
 
     /// Probes whether the endpoint crashed during the request.
     async fn probe_crash(&self, failed: &mut Failed) {
         if let Some(broken_run) = failed.broken_run.take() {
-            crash::probe(&self.knowledge, &self.call, broken_run).await;
+            crash::probe(&self.shared, &self.call, broken_run).await;
         }
     }
 
@@ -193,7 +193,7 @@
             self.probe_crash(&mut failure).await;
             let now = clock::now();
             let service = self.call.resolved.service.clone();
-            let affordable = || self.knowledge.budgets.borrow_mut().try_spend(&service, now);
+            let affordable = || self.shared.budgets.borrow_mut().try_spend(&service, now);
             let next = self.lifecycle.after_failure(failure.failure, affordable);
             let id = self.call.head.id.as_deref();
             tracing::info!(id, content = %self.call.fingerprint(), after = last, cause = failure.cause, next = ?next, "stream broken at its endpoint");
@@ -201,10 +201,10 @@
                 return None;
             }
             let (endpoint, running) =
-                exchange::choose(&self.knowledge, &self.call, &self.tried, now).ok()?;
+                exchange::choose(&self.shared, &self.call, &self.tried, now).ok()?;
             self.tried.push(running.endpoint().clone());
             let sending = exchange::send::<D>(
-                &self.knowledge,
+                &self.shared,
                 &self.call,
                 &mut self.lifecycle,
                 &endpoint,
@@ -216,7 +216,7 @@
                 biased;
                 () = self.sender.closed() => return None,
                 sent = sending => sent,
-                () = self.knowledge.wake.wait_until(deadline) => return None,
+                () = self.shared.wake.wait_until(deadline) => return None,
             };
             match sent {
                 Ok(reply) if reply.head.status.is_success() => {
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -7,7 +7,7 @@
 
 use tokio::signal::unix::{SignalKind, signal};
 
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::options::Options;
 
 /// The interval at which settings are read without a signal. They may change
@@ -33,19 +33,19 @@
 
 /// Applies new settings whenever the result of `read` changes.
 pub(crate) async fn run<E: Display>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     read: impl Fn() -> Result<Options, E>,
 ) -> io::Result<()> {
     let mut failing = false;
     watch(|signalled| {
         let read = read();
         match &read {
-            Ok(new) if *new == *knowledge.options() => {
+            Ok(new) if *new == *shared.options() => {
                 if signalled {
                     tracing::info!("reload requested, settings unchanged");
                 }
             }
-            Ok(new) => apply(&knowledge, new.clone()),
+            Ok(new) => apply(&shared, new.clone()),
             Err(error) if signalled || !failing => {
                 tracing::error!(%error, "settings not taken, the previous ones stay in force");
             }
@@ -56,8 +56,8 @@
     .await
 }
 
-fn apply(knowledge: &Knowledge, new: Options) {
-    let old = knowledge.options();
+fn apply(shared: &SharedState, new: Options) {
+    let old = shared.options();
     let addresses_changed = old.listen != new.listen
         || old.readiness != new.readiness
         || old.resolver != new.resolver
@@ -67,5 +67,5 @@
         tracing::warn!("changed addresses take effect at the next start");
     }
     tracing::info!(grace = ?new.grace, revocation = ?new.revocation_bound, retry_ratio = new.retry_ratio, "settings reloaded");
-    knowledge.set_options(new);
+    shared.set_options(new);
 }
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -12,7 +12,7 @@
 use crate::admission::Forecast;
 use crate::crash::BrokenRun;
 use crate::journal::millis;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 
 /// How long after its first piece a run is considered harmless: twice the longest forward
 /// pass at which streams are on time. Requests that crash endpoints do so within 50 ms of
@@ -22,7 +22,7 @@
 /// A request counted at an endpoint until this is dropped.
 #[derive(Debug)]
 pub(crate) struct Running {
-    pub(crate) knowledge: Rc<Knowledge>,
+    pub(crate) shared: Rc<SharedState>,
     /// The id of the request, for the log.
     pub(crate) id: Option<String>,
     pub(crate) service: String,
@@ -44,7 +44,7 @@
         self.pieces += 1;
         if self.pieces == 1 {
             self.first = self.sent.map(|sent| now.saturating_duration_since(sent));
-            self.knowledge
+            self.shared
                 .fleet
                 .borrow_mut()
                 .first_piece(&self.service, &mut self.attempt, now);
@@ -110,7 +110,7 @@
     fn drop(&mut self) {
         let now = clock::now();
         self.log(now);
-        let mut fleet = self.knowledge.fleet.borrow_mut();
+        let mut fleet = self.shared.fleet.borrow_mut();
         fleet.finish(&self.service, &self.attempt, self.end, now);
     }
 }
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -19,7 +19,7 @@
 
 use crate::connection;
 use crate::dialect::{AddressQuery, Dialect};
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::tcp;
 
 /// How long callers cache a list of addresses: short enough to leave a stopping entry
@@ -50,26 +50,24 @@
 
 /// Serves callers' requests.
 pub(crate) async fn callers<D: Dialect>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     listener: TcpListener,
     closing: watch::Receiver<bool>,
 ) {
     accept(listener, |stream| {
-        let limits = knowledge
+        let limits = shared
             .configuration()
             .map(|configuration| configuration.limits);
-        connection::serve::<D>(Rc::clone(&knowledge), stream, limits, closing.clone())
+        connection::serve::<D>(Rc::clone(&shared), stream, limits, closing.clone())
     })
     .await;
 }
 
 /// Serves queries for readiness and for addresses.
-pub(crate) async fn queries<D: Dialect>(knowledge: Rc<Knowledge>, listener: TcpListener) {
+pub(crate) async fn queries<D: Dialect>(shared: Rc<SharedState>, listener: TcpListener) {
     accept(listener, |stream| {
-        let knowledge = Rc::clone(&knowledge);
-        answer(stream, move |request| {
-            answer_query::<D>(&knowledge, request)
-        })
+        let shared = Rc::clone(&shared);
+        answer(stream, move |request| answer_query::<D>(&shared, request))
     })
     .await;
 }
@@ -102,15 +100,15 @@
 
 /// Returns the regions whose entries a caller may use; `None` for all. These are the
 /// regions allowed by the host's routes, if any restricts them, and the caller's own.
-fn entry_regions(knowledge: &Knowledge, query: &AddressQuery) -> Option<Vec<String>> {
-    let configuration = knowledge.configuration()?;
-    let regions = configuration.homes(query.host.as_deref()?)?;
+fn entry_regions(shared: &SharedState, query: &AddressQuery) -> Option<Vec<String>> {
+    let configuration = shared.configuration()?;
+    let regions = configuration.allowed_regions(query.host.as_deref()?)?;
     let regions = regions.into_iter().chain(query.region.as_deref());
     Some(regions.map(str::to_owned).collect())
 }
 
 fn answer_query<D: Dialect>(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     request: &Request<Incoming>,
 ) -> Response<Full<Bytes>> {
     let now = clock::now();
@@ -120,7 +118,7 @@
         response
     };
     if D::is_readiness_query(request.uri()) {
-        return status(if knowledge.ready(now) {
+        return status(if shared.ready(now) {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -129,16 +127,16 @@
     let Some(query) = D::address_query(request.uri()) else {
         return status(StatusCode::NOT_FOUND);
     };
-    let options = knowledge.options();
-    let serving = knowledge.stopping.get().is_none() && knowledge.configuration().is_some();
-    let regions = entry_regions(knowledge, &query);
+    let options = shared.options();
+    let serving = shared.stopping.get().is_none() && shared.configuration().is_some();
+    let regions = entry_regions(shared, &query);
     let is_allowed = |data_centre: &str| {
         let regions = regions.as_ref();
-        regions.is_none_or(|regions| options.regions.are_home(regions, data_centre))
+        regions.is_none_or(|regions| options.regions.any_contains(regions, data_centre))
     };
     let own_is_allowed = is_allowed(&options.data_centre);
-    let ready = (knowledge.ready(now) && own_is_allowed).then_some(options.listen);
-    let peers = knowledge.peers.borrow();
+    let ready = (shared.ready(now) && own_is_allowed).then_some(options.listen);
+    let peers = shared.peers.borrow();
     let mut list = peers.list_within(query.data_centre.as_deref(), ready, is_allowed, now);
     if list.is_empty() && serving && own_is_allowed {
         // While the store is unavailable no entry is ready, but each still serves requests
--- a/crates/gateway/tests/asleep.rs
+++ b/crates/gateway/tests/asleep.rs
@@ -7,14 +7,14 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Sleep};
-use cactusnotch_gateway::absence::Absence;
 use cactusnotch_gateway::budget::RetryBudgets;
 use cactusnotch_gateway::content::{Fingerprint, Parts};
 use cactusnotch_gateway::freshness::Freshness;
+use cactusnotch_gateway::outage::Outage;
 use cactusnotch_gateway::peer::Entry;
 use cactusnotch_gateway::peers::Peers;
+use cactusnotch_gateway::polls::Polls;
 use cactusnotch_gateway::quarantine::{QUARANTINE_TIME, Quarantine};
-use cactusnotch_gateway::questions::Questions;
 use http::Method;
 
 const SUSPENDED: Duration = Duration::from_secs(8);
@@ -42,9 +42,9 @@
 
 #[test]
 fn an_answer_to_a_question_from_before_proves_what_held_then() {
-    let (mut questions, mut freshness) = (Questions::default(), Freshness::new(Some(SUSPENDED)));
+    let (mut questions, mut freshness) = (Polls::default(), Freshness::new(Some(SUSPENDED)));
     let round = suspend_after(|| questions.begin(clock::now()));
-    let confirmed = questions.proved(round, Duration::from_millis(20));
+    let confirmed = questions.confirmed_at(round, Duration::from_millis(20));
     freshness.renew(confirmed.expect("the round was started"));
     assert!(!freshness.holds(clock::now()));
 }
@@ -60,7 +60,7 @@
             listen: address,
             peers: address,
         });
-        peers.hear(address, true, clock::now());
+        peers.record_state(address, true, clock::now());
         assert_eq!(peers.ready_before(clock::now()), 1);
     });
     assert_eq!(peers.ready_before(clock::now()), 0);
@@ -68,13 +68,13 @@
 
 #[test]
 fn the_stores_return_is_long_ago() {
-    let mut absence = Absence::default();
+    let mut outage = Outage::default();
     suspend_after(|| {
-        absence.end(clock::now());
-        assert!(absence.kept_until(clock::now()).is_some());
+        outage.end(clock::now());
+        assert!(outage.kept_until(clock::now()).is_some());
     });
-    assert_eq!(absence.kept_until(clock::now()), None);
-    assert!(absence.ended_ago(clock::now()) >= Some(SUSPENDED));
+    assert_eq!(outage.kept_until(clock::now()), None);
+    assert!(outage.ended_ago(clock::now()) >= Some(SUSPENDED));
 }
 
 #[test]
--- a/crates/gateway/tests/configuration.rs
+++ b/crates/gateway/tests/configuration.rs
@@ -35,7 +35,7 @@
         idle_time: Duration::from_secs(15),
     };
     let organisation = Organisation {
-        homes: Vec::new(),
+        allowed_regions: Vec::new(),
         name: "o".to_owned(),
         priority: None,
     };
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -95,8 +95,8 @@
     let now = clock::now();
     let mut link = Link::default();
     link.fail(Role::Relies, now, 0.5);
-    assert!(!link.hear_of_return(now), "the return preceded the failure");
-    assert!(link.hear_of_return(now + Duration::from_millis(1)));
+    assert!(!link.note_return(now), "the return preceded the failure");
+    assert!(link.note_return(now + Duration::from_millis(1)));
     assert!(!link.is_lost());
 }
 
@@ -105,7 +105,7 @@
     let now = clock::now();
     let peer = |at: u8| std::net::SocketAddr::from(([10, 0, 0, at], 7340));
     let mut peers = Peers::new("c", "east");
-    assert_eq!(peers.heard_before(now), Some(0), "no other entry is known");
+    assert_eq!(peers.alive_before(now), Some(0), "no other entry is known");
     for (at, (host, data_centre)) in [("a", "east"), ("b", "east"), ("d", "east"), ("0", "west")]
         .into_iter()
         .enumerate()
@@ -119,13 +119,13 @@
         });
     }
     assert_eq!(
-        peers.heard_before(now),
+        peers.alive_before(now),
         None,
         "no other entry has been observed"
     );
     for at in [0, 2, 3] {
         // Entries that can't serve without the store count as alive, too.
-        peers.hear(peer(at), false, now);
+        peers.record_state(peer(at), false, now);
     }
-    assert_eq!(peers.heard_before(now), Some(1));
+    assert_eq!(peers.alive_before(now), Some(1));
 }
--- a/crates/gateway/tests/peers.rs
+++ b/crates/gateway/tests/peers.rs
@@ -10,7 +10,7 @@
 
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_gateway::peer::Entry;
-use cactusnotch_gateway::peers::{ASKED_MAX, Peers};
+use cactusnotch_gateway::peers::{POLLED_MAX, Peers};
 
 fn entry(at: usize) -> Entry {
     let host = u8::try_from(at).expect("a data centre has less than 256 entries");
@@ -33,15 +33,15 @@
         })
         .collect();
     for at in 0..count {
-        let asked = all[at].asked();
+        let asked = all[at].polled();
         assert!(
-            asked.len() <= ASKED_MAX,
+            asked.len() <= POLLED_MAX,
             "{} entries are polled",
             asked.len()
         );
         for other in (0..count).filter(|&other| asked.contains(&entry(other).peers)) {
-            all[other].hear(entry(at).peers, true, now);
-            all[at].hear(entry(other).peers, true, now);
+            all[other].record_state(entry(at).peers, true, now);
+            all[at].record_state(entry(other).peers, true, now);
         }
     }
     all
--- a/crates/gateway/tests/share.rs
+++ b/crates/gateway/tests/share.rs
@@ -4,7 +4,7 @@
 //! four times a second to each entry that uses their endpoint. The sizes are 46 entries
 //! for 64 endpoints, 149 and 207 for 192, and 380 for 1,300 in two years.
 
-use cactusnotch_gateway::share::{ALL_MAX, SUBSET, sharers, used};
+use cactusnotch_gateway::subset::{ALL_MAX, SUBSET, sharers, used};
 
 /// The load reports a second from an agent to each entry that uses its endpoint.
 const REPORTS_PER_SECOND: usize = 4;
