--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -158,7 +158,7 @@
         let router = shared.router();
         (
             router.headroom(service, AHEAD, now),
-            router.residence(service),
+            router.service_time(service),
         )
     };
     let request = Request {
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -155,7 +155,7 @@
         let ranked = self.ranked.binary_search(&service).is_ok();
         // One that is new to a shared service is used once it was chosen.
         let used = !self.shared.contains(&service);
-        let shares_limit = self.limits.shares(&endpoint.instance);
+        let shares_limit = self.limits.is_holder(&endpoint.instance);
         let id = endpoint.id.clone();
         let row = self
             .rows
--- a/crates/gateway/src/fleet/barrier.rs
+++ b/crates/gateway/src/fleet/barrier.rs
@@ -90,11 +90,11 @@
                 Some(Barred::Resting) => barrier.resting += 1,
                 Some(Barred::Limited) => {
                     barrier.limited += 1;
-                    barrier.shared += usize::from(self.limits.shares(instance));
+                    barrier.shared += usize::from(self.limits.is_holder(instance));
                 }
                 Some(Barred::Cold) => {
                     barrier.cold += 1;
-                    barrier.shared += usize::from(self.cold.shares(instance));
+                    barrier.shared += usize::from(self.cold.is_holder(instance));
                 }
                 Some(Barred::Leaving | Barred::Evacuated) | None => {}
             }
@@ -104,7 +104,7 @@
 
     /// Tells whether this entry shares the limit of an endpoint.
     pub(crate) fn shares_limit(&self, instance: &str) -> bool {
-        self.limits.shares(instance)
+        self.limits.is_holder(instance)
     }
 
     /// Returns how many endpoints have a limit.
--- a/crates/gateway/src/fleet/cold.rs
+++ b/crates/gateway/src/fleet/cold.rs
@@ -79,7 +79,7 @@
                 rate = Rate::per_second(rate),
                 ms = millis(left),
                 source,
-                shared = self.cold.shares(instance),
+                shared = self.cold.is_holder(instance),
                 "endpoint is cold"
             );
             self.fit(instance);
--- a/crates/gateway/src/fleet/options.rs
+++ b/crates/gateway/src/fleet/options.rs
@@ -22,7 +22,7 @@
     /// Returns how endpoints of a service are chosen.
     pub(super) fn options(&self, service: &Service) -> route::Options {
         let mut options = route::Options {
-            choices: COMPARED,
+            sample_size: COMPARED,
             affinity_width: 0,
             failures: FAILURES,
             ejection: EJECTION,
--- a/crates/gateway/src/fleet/statements.rs
+++ b/crates/gateway/src/fleet/statements.rs
@@ -109,7 +109,7 @@
     /// used for as long, also if it belongs to a large service and wasn't chosen: few others
     /// share it.
     pub(super) fn fit(&mut self, instance: &str) {
-        let is_shared = self.limits.shares(instance);
+        let is_shared = self.limits.is_holder(instance);
         let mut changed = None;
         for (_, row) in self.rows.iter_mut() {
             if row.endpoint.instance == instance && row.shares_limit != is_shared {
--- a/crates/route/examples/policies/policy.rs
+++ b/crates/route/examples/policies/policy.rs
@@ -198,7 +198,7 @@
         let choice = router.choose(&request, now, rng).ok()?;
         if self
             .deadline
-            .is_some_and(|deadline| choice.predicted + choice.residence > deadline)
+            .is_some_and(|deadline| choice.predicted + choice.service_time > deadline)
         {
             return None;
         }
--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -46,7 +46,7 @@
     }
 
     /// Returns how long the request held its slot, in seconds.
-    pub(crate) fn residence(&self, now: Instant) -> f64 {
+    pub(crate) fn service_time(&self, now: Instant) -> f64 {
         let time = now.saturating_duration_since(self.started);
         time.saturating_sub(self.wait).as_secs_f64()
     }
--- a/crates/route/src/choice.rs
+++ b/crates/route/src/choice.rs
@@ -21,7 +21,7 @@
     /// The requests that are believed there, in hundredths of its slots.
     pub utilisation: u32,
     /// How long a request of the service holds its slot.
-    pub residence: Duration,
+    pub service_time: Duration,
     /// The time to the first token that an endpoint of usual speed would take.
     pub(crate) usual: Duration,
 }
--- a/crates/route/src/options.rs
+++ b/crates/route/src/options.rs
@@ -11,7 +11,7 @@
     /// that are not listed count as farthest.
     pub nearest: Vec<DataCentre>,
     /// How many endpoints are drawn at random and compared for a request.
-    pub choices: usize,
+    pub sample_size: usize,
     /// The fraction of its slots from which an endpoint counts as full.
     pub full: f64,
     /// The longest time after which half of a load report's weight is gone;
@@ -37,7 +37,7 @@
     /// The time to process one token of a prompt.
     pub token_time: Duration,
     /// How long a request holds its slot, until that has been measured.
-    pub residence: Duration,
+    pub service_time: Duration,
     /// The cost of each rank of distance.
     pub hop_time: Duration,
     /// How many failures in a row eject an endpoint.
@@ -56,7 +56,7 @@
     fn default() -> Self {
         Self {
             nearest: Vec::new(),
-            choices: 4,
+            sample_size: 4,
             full: 1.0,
             report_half_life: Duration::from_secs(2),
             report_timeout: None,
@@ -67,7 +67,7 @@
             affinity_blocks: 4,
             base_time: Duration::from_millis(10),
             token_time: Duration::from_micros(50),
-            residence: Duration::from_secs(1),
+            service_time: Duration::from_secs(1),
             hop_time: Duration::from_millis(2),
             failures: 3,
             ejection: Duration::from_secs(1),
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -31,7 +31,7 @@
     members: Vec<usize>,
     first: Average,
     step: Average,
-    residence: Average,
+    service_time: Average,
     /// The other entries' load for each slot.
     others: Density,
 }
@@ -46,9 +46,9 @@
     }
 
     /// Returns how long a request holds its slot, in seconds.
-    fn residence(&self, options: &Options) -> f64 {
-        let declared = options.residence.as_secs_f64();
-        self.residence.get().unwrap_or(declared)
+    fn service_time(&self, options: &Options) -> f64 {
+        let declared = options.service_time.as_secs_f64();
+        self.service_time.get().unwrap_or(declared)
     }
 }
 
@@ -147,10 +147,10 @@
 
     /// Returns how long a request of a service holds its slot, as measured.
     #[must_use]
-    pub fn residence(&self, service: &Service) -> Duration {
+    pub fn service_time(&self, service: &Service) -> Duration {
         let pool = self.pools.get(service);
-        pool.map_or(self.options.residence, |pool| {
-            Duration::from_secs_f64(pool.residence(&self.options).max(0.0))
+        pool.map_or(self.options.service_time, |pool| {
+            Duration::from_secs_f64(pool.service_time(&self.options).max(0.0))
         })
     }
 
@@ -189,7 +189,7 @@
         rng: &mut impl Rng,
     ) -> Result<Choice, Error> {
         let (selection, members) = self.select(request.service, now).ok_or(Error::Unknown)?;
-        let residence = selection.residence;
+        let service_time = selection.service_time;
         let pick = selection.run(members, request, rng)?;
         Ok(Choice {
             endpoint: self.rows[pick.row].member.name.clone(),
@@ -197,7 +197,7 @@
             predicted: pick.predicted,
             wait: pick.wait,
             utilisation: whole(pick.utilisation),
-            residence: Duration::from_secs_f64(residence),
+            service_time: Duration::from_secs_f64(service_time),
             usual: pick.usual,
         })
     }
@@ -207,7 +207,7 @@
         let pool = self.pools.get_mut(service)?;
         let selection = Selection {
             reference: pool.reference(),
-            residence: pool.residence(&self.options),
+            service_time: pool.service_time(&self.options),
             seen: &mut pool.others,
             options: &self.options,
             rows: &self.rows,
@@ -272,7 +272,7 @@
             self.rows[at].step.add(step, now);
         }
         if let Some(pool) = self.pools.get_mut(&attempt.service) {
-            pool.residence.add(attempt.residence(now), now);
+            pool.service_time.add(attempt.service_time(now), now);
             if let Some(step) = step {
                 pool.step.add(step, now);
             }
--- a/crates/route/src/row.rs
+++ b/crates/route/src/row.rs
@@ -117,7 +117,7 @@
     pub(crate) fn reported(
         &self,
         options: &Options,
-        residence: f64,
+        service_time: f64,
         mean: f64,
         now: Instant,
     ) -> (f64, Density) {
@@ -128,7 +128,7 @@
         let half_life = options
             .report_half_life
             .as_secs_f64()
-            .min(LN_2 * residence / (1.0 + REFILL * (mean * self.slots).sqrt()));
+            .min(LN_2 * service_time / (1.0 + REFILL * (mean * self.slots).sqrt()));
         let weight = (-age.as_secs_f64() / half_life).exp2();
         let drained = age.div_duration_f64(options.token_time) * self.member.speed;
         let backlog = (f64::from(self.others.backlog) - drained).max(0.0);
--- a/crates/route/src/selection.rs
+++ b/crates/route/src/selection.rs
@@ -42,7 +42,7 @@
     /// Takes the mean of the others' load that this decision sees.
     pub(crate) seen: &'a mut Density,
     /// How long a request of the service holds its slot, in seconds.
-    pub(crate) residence: f64,
+    pub(crate) service_time: f64,
     pub(crate) now: Instant,
     pub(crate) candidates: &'a mut Vec<Candidate>,
 }
@@ -103,7 +103,7 @@
                     tally.serving += 1;
                     let (fresh, others) = row.reported(
                         self.options,
-                        self.residence,
+                        self.service_time,
                         self.reference.others.requests,
                         self.now,
                     );
@@ -212,13 +212,13 @@
         request: &Request<'_>,
         rng: &mut impl Rng,
     ) -> Candidate {
-        let amount = self.options.choices.max(1);
+        let amount = self.options.sample_size.max(1);
         let (drawn, _) = self.candidates[..tier].partial_shuffle(rng, amount);
         let drawn = &*drawn;
         let mut best = drawn[0];
         let mut least = f64::INFINITY;
         for candidate in drawn {
-            let cost = cost(candidate, self.options, self.residence, request);
+            let cost = cost(candidate, self.options, self.service_time, request);
             if cost < least {
                 (best, least) = (*candidate, cost);
             }
@@ -227,7 +227,7 @@
     }
 
     fn pick(&self, candidate: Candidate, reason: Reason, request: &Request<'_>) -> Pick {
-        let wait = wait(&candidate, self.residence);
+        let wait = wait(&candidate, self.service_time);
         let predicted = wait + processing(&candidate, self.options, request);
         let usual = Duration::try_from_secs_f64(predicted / candidate.slowness);
         let scale = |time: f64| Duration::try_from_secs_f64(time * self.reference.first);
@@ -343,9 +343,9 @@
 }
 
 /// Returns the expected time until a slot is free, in seconds.
-fn wait(candidate: &Candidate, residence: f64) -> f64 {
+fn wait(candidate: &Candidate, service_time: f64) -> f64 {
     let ahead = (candidate.requests + 1.0 - candidate.slots).max(0.0);
-    candidate.slowness * residence * ahead / candidate.slots
+    candidate.slowness * service_time * ahead / candidate.slots
 }
 
 /// Returns the expected time from a free slot to the first token, in seconds.
@@ -356,10 +356,10 @@
 }
 
 /// Returns what sending the request to an endpoint costs, in seconds.
-fn cost(candidate: &Candidate, options: &Options, residence: f64, request: &Request<'_>) -> f64 {
+fn cost(candidate: &Candidate, options: &Options, service_time: f64, request: &Request<'_>) -> f64 {
     let hops = u32::try_from(candidate.distance).map_or(f64::MAX, f64::from);
     let occupancy = candidate.requests / capacity(candidate);
-    wait(candidate, residence)
+    wait(candidate, service_time)
         + processing(candidate, options, request)
         + hops * options.hop_time.as_secs_f64()
         + occupancy * options.base_time.as_secs_f64()
--- a/crates/throttle/src/limit.rs
+++ b/crates/throttle/src/limit.rs
@@ -53,7 +53,7 @@
 
     /// Tells whether this entry shares the limit.
     #[must_use]
-    pub fn is_shared(&self) -> bool {
+    pub fn is_holder(&self) -> bool {
         self.rate.is_some() && self.allotment.is_some_and(|allotment| allotment.is_holder)
     }
 
--- a/crates/throttle/src/limits.rs
+++ b/crates/throttle/src/limits.rs
@@ -163,8 +163,8 @@
 
     /// Tells whether this entry shares the limit of an endpoint.
     #[must_use]
-    pub fn shares(&self, endpoint: &str) -> bool {
-        self.rows.get(endpoint).is_some_and(Limit::is_shared)
+    pub fn is_holder(&self, endpoint: &str) -> bool {
+        self.rows.get(endpoint).is_some_and(Limit::is_holder)
     }
 
     /// Returns until when an endpoint gets no request from this entry.
--- a/crates/throttle/src/warmups.rs
+++ b/crates/throttle/src/warmups.rs
@@ -83,8 +83,8 @@
 
     /// Tells whether this entry shares what a cold endpoint takes.
     #[must_use]
-    pub fn shares(&self, endpoint: &str) -> bool {
-        self.limits.shares(endpoint)
+    pub fn is_holder(&self, endpoint: &str) -> bool {
+        self.limits.is_holder(endpoint)
     }
 
     /// Returns until when an endpoint gets no request from this entry.
