--- a/crates/route/examples/policies/main.rs
+++ b/crates/route/examples/policies/main.rs
@@ -1,4 +1,4 @@
-//! Compares the routing decision with baselines on the same seeded arrivals.
+//! Compares the router with baseline policies on the same seeded arrivals.
 //!
 //! `cargo run --release -p cactusnotch-route --example policies`
 
@@ -14,7 +14,7 @@
 use rand::rngs::StdRng;
 
 use crate::model::{Figures, Model};
-use crate::policy::{Baseline, Kind, Ours, Policy, Views};
+use crate::policy::{Baseline, Kind, Policy, Routed, Views};
 use crate::trace::{Job, Scenario};
 
 const SEED: u64 = 4;
@@ -36,7 +36,7 @@
     subsets::run_all();
 }
 
-/// Today's size: nine entries and sixty endpoints at 70% of their capacity.
+/// The default scenario: nine entries and sixty endpoints at 70% of their capacity.
 fn base(name: &'static str) -> Scenario {
     Scenario {
         name,
@@ -134,7 +134,7 @@
         &run(
             scenario,
             &jobs,
-            Ours::new(scenario, jobs.len(), views.clone(), &options()),
+            Routed::new(scenario, jobs.len(), views.clone(), &options()),
         ),
     );
     if scenario.prefixes > 0 {
@@ -148,7 +148,7 @@
             &run(
                 scenario,
                 &jobs,
-                Ours::new(scenario, jobs.len(), views, &without),
+                Routed::new(scenario, jobs.len(), views, &without),
             ),
         );
     }
@@ -166,7 +166,7 @@
     Model::new(scenario, jobs, policy, StdRng::seed_from_u64(SEED)).run()
 }
 
-/// Prints one line of the table.
+/// Prints one row of the table.
 fn print(scenario: &Scenario, policy: &str, figures: &Figures) {
     let ms = |quantile: f64| {
         Duration::from_micros(figures.first.value_at_quantile(quantile)).as_secs_f64() * 1e3
--- a/crates/route/examples/policies/model.rs
+++ b/crates/route/examples/policies/model.rs
@@ -1,8 +1,9 @@
-//! A queueing model of endpoints that batch continuously, in virtual time.
+//! A queueing model of endpoints with continuous batching, in virtual time.
 //!
 //! An endpoint runs up to `slots` requests, processes their prompts one after
-//! the other, and makes tokens for all of them in steps that grow longer with
-//! the batch. Its cache of prefixes is bounded and forgets the oldest.
+//! the other, and generates tokens for all of them in steps whose duration
+//! grows with the batch. Its prefix cache is bounded and evicts the least
+//! recently used prefix.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -17,12 +18,11 @@
 
 /// The time to process a prompt token.
 pub const TOKEN: Duration = Duration::from_micros(100);
-/// The time of a step with an empty batch.
+/// The duration of a step with an empty batch.
 pub const STEP: Duration = Duration::from_micros(4_500);
-/// After this time without a first token an attempt counts as failed, if the
-/// endpoint is dead.
-const SILENCE: Duration = Duration::from_millis(500);
-/// Answers that came earlier are not counted.
+/// The time after which an attempt at a crashed endpoint counts as failed.
+const FAILURE_TIMEOUT: Duration = Duration::from_millis(500);
+/// Requests that arrive earlier are not counted.
 const WARM_UP: Duration = Duration::from_secs(5);
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -30,7 +30,7 @@
     Arrive(usize),
     First(usize),
     Done(usize),
-    Silent(usize),
+    TimedOut(usize),
     Kill(usize),
     Tick(usize),
     Report {
@@ -42,7 +42,7 @@
 
 #[derive(Default, Clone)]
 struct Engine {
-    dead: bool,
+    crashed: bool,
     slow: u32,
     running: u32,
     waiting: VecDeque<usize>,
@@ -53,7 +53,7 @@
     served: u64,
 }
 
-/// The state of a request under way.
+/// The state of a request in flight.
 #[derive(Default, Clone)]
 struct Run {
     endpoint: usize,
@@ -61,7 +61,7 @@
     answered: bool,
 }
 
-/// What a run of the model measured.
+/// The results of a run.
 pub struct Figures {
     pub first: Histogram<u64>,
     pub good: u64,
@@ -151,7 +151,7 @@
             Event::Arrive(job) => self.arrive(job, now),
             Event::First(job) => self.first(job, now),
             Event::Done(job) => self.done(job, now),
-            Event::Silent(job) => self.silent(job, now),
+            Event::TimedOut(job) => self.time_out(job, now),
             Event::Kill(endpoint) => self.kill(endpoint, now),
             Event::Tick(endpoint) => self.tick(endpoint, now),
             Event::Report {
@@ -197,8 +197,8 @@
         };
         self.runs[job].endpoint = endpoint;
         let engine = &mut self.engines[endpoint];
-        if engine.dead {
-            self.push(now + SILENCE, Event::Silent(job));
+        if engine.crashed {
+            self.push(now + FAILURE_TIMEOUT, Event::TimedOut(job));
             return;
         }
         engine.served += 1;
@@ -207,7 +207,7 @@
         self.admit(endpoint, now);
     }
 
-    /// Gives free slots of an engine to the requests that wait for one.
+    /// Assigns free slots of an engine to waiting requests.
     fn admit(&mut self, endpoint: usize, now: Duration) {
         while self.engines[endpoint].running < self.scenario.slots {
             let Some(job) = self.engines[endpoint].waiting.pop_front() else {
@@ -227,8 +227,8 @@
         }
     }
 
-    /// Looks a prompt up in an engine's cache, stores it there, and returns
-    /// the tokens that are left to process.
+    /// Looks up a prompt in an engine's prefix cache, stores it there, and returns
+    /// the number of tokens left to process.
     fn uncached(&mut self, endpoint: usize, job: usize) -> u32 {
         let measured = u64::from(self.measured(job));
         let job = &self.jobs[job];
@@ -256,8 +256,8 @@
         let endpoint = self.runs[job].endpoint;
         let engine = &mut self.engines[endpoint];
         engine.prompts.pop_front();
-        if engine.dead {
-            self.push(now, Event::Silent(job));
+        if engine.crashed {
+            self.push(now, Event::TimedOut(job));
             return;
         }
         let batch = f64::from(engine.running) / f64::from(self.scenario.slots);
@@ -280,7 +280,7 @@
 
     fn done(&mut self, job: usize, now: Duration) {
         let endpoint = self.runs[job].endpoint;
-        if self.engines[endpoint].dead {
+        if self.engines[endpoint].crashed {
             self.policy.fail(job, now);
             return;
         }
@@ -290,7 +290,7 @@
         self.admit(endpoint, now);
     }
 
-    /// Ends a request, whole or cut off at its deadline.
+    /// Ends a request, either complete or cut off at its deadline.
     fn leave(&mut self, job: usize, now: Duration) {
         let endpoint = self.runs[job].endpoint;
         self.engines[endpoint].of_entry[self.jobs[job].entry] -= 1;
@@ -299,8 +299,8 @@
             .finish(job, answered.then_some(self.jobs[job].pieces), now);
     }
 
-    /// Retries once what a dead endpoint did not answer.
-    fn silent(&mut self, job: usize, now: Duration) {
+    /// Handles the time-out of an attempt and retries the request once.
+    fn time_out(&mut self, job: usize, now: Duration) {
         self.policy.fail(job, now);
         let endpoint = self.runs[job].endpoint;
         if self.runs[job].tried.is_empty() {
@@ -310,14 +310,14 @@
     }
 
     fn kill(&mut self, endpoint: usize, now: Duration) {
-        self.engines[endpoint].dead = true;
+        self.engines[endpoint].crashed = true;
         for job in std::mem::take(&mut self.engines[endpoint].waiting) {
-            self.push(now + SILENCE, Event::Silent(job));
+            self.push(now + FAILURE_TIMEOUT, Event::TimedOut(job));
         }
     }
 
     fn tick(&mut self, endpoint: usize, now: Duration) {
-        if self.engines[endpoint].dead {
+        if self.engines[endpoint].crashed {
             return;
         }
         let engine = &self.engines[endpoint];
--- a/crates/route/examples/policies/policy.rs
+++ b/crates/route/examples/policies/policy.rs
@@ -1,4 +1,4 @@
-//! Ours and the baselines behind one interface.
+//! The router and the baseline policies behind a common interface.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 
 use crate::trace::{Job, Scenario};
 
-/// A way to choose endpoints.
+/// A policy for selecting endpoints.
 pub trait Policy {
     fn choose(
         &mut self,
@@ -22,14 +22,14 @@
         rng: &mut StdRng,
     ) -> Option<usize>;
     fn report(&mut self, entry: usize, endpoint: usize, report: &Report, now: Duration);
-    /// The entries that get an endpoint's reports.
+    /// Returns the entries that receive an endpoint's reports.
     fn entries(&self, endpoint: usize) -> &[usize];
     fn first(&mut self, _id: usize, _now: Duration) {}
     fn finish(&mut self, _id: usize, _pieces: Option<u32>, _now: Duration) {}
     fn fail(&mut self, _id: usize, _now: Duration) {}
 }
 
-/// The endpoints that each entry knows, and the reverse.
+/// The endpoints of each entry, and the entries of each endpoint.
 #[derive(Debug, Clone)]
 pub struct Views {
     pub of_entry: Vec<Vec<usize>>,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The baselines.
+/// The baseline policies.
 #[derive(Debug, Clone, Copy)]
 pub enum Kind {
     Random,
@@ -64,7 +64,7 @@
     LeastReported,
 }
 
-/// A baseline, which knows all endpoints.
+/// A baseline policy, which uses all endpoints.
 pub struct Baseline {
     kind: Kind,
     views: Views,
@@ -129,8 +129,8 @@
     }
 }
 
-/// The crate's router, one for each entry.
-pub struct Ours {
+/// The router of this crate, one instance per entry.
+pub struct Routed {
     routers: Vec<Router>,
     views: Views,
     names: Vec<Endpoint>,
@@ -140,7 +140,7 @@
     start: Instant,
 }
 
-impl Ours {
+impl Routed {
     pub fn new(scenario: &Scenario, jobs: usize, views: Views, options: &Options) -> Self {
         let service = Service::Model(Model::new("letters"));
         let names: Vec<Endpoint> = (0..scenario.endpoints)
@@ -174,7 +174,7 @@
     }
 }
 
-impl Policy for Ours {
+impl Policy for Routed {
     fn choose(
         &mut self,
         id: usize,
--- a/crates/route/examples/policies/subsets.rs
+++ b/crates/route/examples/policies/subsets.rs
@@ -1,4 +1,4 @@
-//! What bounded subsets cost in balance, in first-token time and in work.
+//! The cost of bounded subsets in balance, time to first token and computation.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use rand::rngs::StdRng;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use crate::policy::{Ours, Views};
+use crate::policy::{Routed, Views};
 use crate::trace::{self, Scenario};
 use crate::{SEED, base, options, print, run};
 
@@ -28,20 +28,20 @@
 }
 
 fn balance() {
-    println!("\nentries that know an endpoint, {ENTRIES} entries x {ENDPOINTS} endpoints");
+    println!("\nentries per endpoint, {ENTRIES} entries x {ENDPOINTS} endpoints");
     println!(
         "{:<6} {:<22} {:>5} {:>5} {:>7} {:>22} {:>20}",
-        "size", "way", "min", "max", "mean", "links moved, -1 endpoint", "-1 entry"
+        "size", "method", "min", "max", "mean", "links moved, -1 endpoint", "-1 entry"
     );
     let entries = names("e", ENTRIES);
     let endpoints = names("s", ENDPOINTS);
     let entries: Vec<&str> = entries.iter().map(String::as_str).collect();
     let endpoints: Vec<&str> = endpoints.iter().map(String::as_str).collect();
     for size in [8, 16, 32, 64] {
-        for (way, assign) in [("plain rendezvous", plain as Assign), ("ours", subset::all)] {
+        for (method, assign) in [("plain rendezvous", plain as Assign), ("ours", subset::all)] {
             let all = assign(&entries, &endpoints, size);
-            let mut known = vec![0_u32; ENDPOINTS];
-            all.iter().flatten().for_each(|&at| known[at] += 1);
+            let mut entry_counts = vec![0_u32; ENDPOINTS];
+            all.iter().flatten().for_each(|&at| entry_counts[at] += 1);
             let fewer_endpoints = assign(&entries, &endpoints[1..], size);
             let lost: usize = all
                 .iter()
@@ -55,10 +55,10 @@
                 .map(|(a, b)| moved(a, b, 0))
                 .sum();
             println!(
-                "{size:<6} {way:<22} {:>5} {:>5} {:>7.1} {lost:>22} {left:>20}",
-                known.iter().min().unwrap_or(&0),
-                known.iter().max().unwrap_or(&0),
-                f64::from(known.iter().sum::<u32>()) / 1_300.0,
+                "{size:<6} {method:<22} {:>5} {:>5} {:>7.1} {lost:>22} {left:>20}",
+                entry_counts.iter().min().unwrap_or(&0),
+                entry_counts.iter().max().unwrap_or(&0),
+                f64::from(entry_counts.iter().sum::<u32>()) / 1_300.0,
             );
         }
     }
@@ -73,7 +73,7 @@
 
 type Assign = fn(&[&str], &[&str], usize) -> Vec<Vec<usize>>;
 
-/// Counts the positions of `after`, counted from `shift`, that `before` lacks.
+/// Counts the positions in `after`, offset by `shift`, that `before` lacks.
 fn moved(before: &[usize], after: &[usize], shift: usize) -> usize {
     after
         .iter()
@@ -81,7 +81,7 @@
         .count()
 }
 
-/// The baseline: each entry takes its endpoints of greatest weight.
+/// The baseline: each entry selects its endpoints with the largest weight.
 fn plain(entries: &[&str], endpoints: &[&str], size: usize) -> Vec<Vec<usize>> {
     let subset = |entry: &&str| {
         let seed = xxh3_64_with_seed(entry.as_bytes(), 0);
@@ -113,22 +113,22 @@
     let endpoints: Vec<&str> = endpoints.iter().map(String::as_str).collect();
     for size in [8, 16, 32, 64] {
         let views = Views::new(subset::all(&entries, &endpoints, size), ENDPOINTS);
-        let ours = Ours::new(&scenario, jobs.len(), views, &options());
+        let routed = Routed::new(&scenario, jobs.len(), views, &options());
         print(
             &scenario,
             &format!("ours, {size}"),
-            &run(&scenario, &jobs, ours),
+            &run(&scenario, &jobs, routed),
         );
         let views = Views::new(plain(&entries, &endpoints, size), ENDPOINTS);
-        let ours = Ours::new(&scenario, jobs.len(), views, &options());
+        let routed = Routed::new(&scenario, jobs.len(), views, &options());
         print(
             &scenario,
             &format!("plain, {size}"),
-            &run(&scenario, &jobs, ours),
+            &run(&scenario, &jobs, routed),
         );
     }
-    let ours = Ours::new(&scenario, jobs.len(), Views::full(&scenario), &options());
-    print(&scenario, "ours, all", &run(&scenario, &jobs, ours));
+    let routed = Routed::new(&scenario, jobs.len(), Views::full(&scenario), &options());
+    print(&scenario, "ours, all", &run(&scenario, &jobs, routed));
 }
 
 fn cost() {
--- a/crates/route/examples/policies/trace.rs
+++ b/crates/route/examples/policies/trace.rs
@@ -5,7 +5,7 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
-/// What a run of the model is given.
+/// The parameters of a run.
 #[derive(Debug, Clone)]
 pub struct Scenario {
     pub name: &'static str,
@@ -13,33 +13,35 @@
     pub endpoints: usize,
     pub slots: u32,
     pub length: Duration,
-    /// Arrivals a second for each endpoint.
+    /// Arrivals per second and endpoint.
     pub rate: f64,
-    /// The time from an arrival to the end of its answer, at most.
+    /// The maximum time from a request's arrival to the end of its response.
     pub deadline: Duration,
+    /// The interval of load reports.
     pub interval: Duration,
+    /// The delay of load reports.
     pub lag: Duration,
-    /// The factor by which endpoint 0 is slow.
+    /// The factor by which endpoint 0 is slower than the others.
     pub slow: u32,
-    /// When endpoint 0 dies.
+    /// When endpoint 0 crashes.
     pub kill: Option<Duration>,
-    /// The prefixes that an endpoint's cache holds.
+    /// The number of prefixes that an endpoint's cache holds.
     pub cache: usize,
-    /// The distinct prefixes; zero for prompts that share none.
+    /// The number of distinct prefixes; zero for prompts without shared prefixes.
     pub prefixes: u32,
-    /// The share of requests that the first entry gets.
+    /// The fraction of requests that arrive at the first entry.
     pub hot_entry: f64,
-    /// The share of prompts that are ten times as long.
+    /// The fraction of prompts that are ten times as long.
     pub long: f64,
-    /// Whether requests are refused whose answer is predicted to be late.
+    /// Whether requests are refused if their response is predicted to be late.
     pub refuse: bool,
 }
 
-/// The usual length of a prompt.
+/// The mean length of a prompt, in tokens.
 pub const PROMPT: u32 = 300;
-/// The length of a shared prefix.
+/// The length of a shared prefix, in tokens.
 const PREFIX: u32 = 1_500;
-/// The mean number of pieces in an answer.
+/// The mean number of pieces in a response.
 const PIECES: f64 = 150.0;
 
 /// A request of the trace.
@@ -52,7 +54,7 @@
     pub prefix: Option<(u32, u32)>,
 }
 
-/// Makes the arrivals of a scenario.
+/// Generates the arrivals of a scenario.
 pub fn jobs(scenario: &Scenario, seed: u64) -> Vec<Job> {
     let rng = &mut StdRng::seed_from_u64(seed);
     let endpoints = u32::try_from(scenario.endpoints).map_or(0.0, f64::from);
@@ -100,7 +102,7 @@
         .unwrap_or(u32::MAX)
 }
 
-/// Draws a position by weight.
+/// Draws an index with probabilities proportional to `weights`.
 fn draw(weights: &[f64], rng: &mut StdRng) -> Option<u32> {
     let mut left = rng.random::<f64>() * weights.iter().sum::<f64>();
     for (at, weight) in weights.iter().enumerate() {
--- a/crates/route/src/attempt.rs
+++ b/crates/route/src/attempt.rs
@@ -1,4 +1,4 @@
-//! A request on its way at an endpoint.
+//! An attempt to run a request on an endpoint.
 
 use std::time::Duration;
 
@@ -8,15 +8,15 @@
 
 use crate::Service;
 
-/// A request on its way at an endpoint, from [`crate::Router::start`] to
+/// A request in flight to an endpoint, from [`crate::Router::start`] to
 /// [`crate::Router::finish`].
 #[record]
 pub struct Attempt {
     pub(crate) endpoint: Endpoint,
     pub(crate) service: Service,
     pub(crate) tokens: u32,
-    /// The first-token time that an endpoint of usual speed would take.
-    pub(crate) usual: Duration,
+    /// The predicted time to the first token on an endpoint of average speed.
+    pub(crate) baseline: Duration,
     /// The expected wait for a slot.
     pub(crate) wait: Duration,
     pub(crate) probe: bool,
@@ -25,27 +25,29 @@
 }
 
 impl Attempt {
-    /// Returns the endpoint that the request went to.
+    /// Returns the endpoint that the request was sent to.
     #[must_use]
     pub const fn endpoint(&self) -> &Endpoint {
         &self.endpoint
     }
 
-    /// Returns the first-token time as a multiple of the usual one.
+    /// Returns the time to the first token as a multiple of the baseline,
+    /// clamped to between 0.1 and 10.
     pub(crate) fn slowness(&self, now: Instant) -> f64 {
         let time = now.saturating_duration_since(self.started);
-        let usual = self.usual.max(Duration::from_micros(1));
-        (time.as_secs_f64() / usual.as_secs_f64()).clamp(0.1, 10.0)
+        let baseline = self.baseline.max(Duration::from_micros(1));
+        (time.as_secs_f64() / baseline.as_secs_f64()).clamp(0.1, 10.0)
     }
 
-    /// Returns the mean time between pieces, in seconds, if there was one.
+    /// Returns the mean time between pieces in seconds, or `None` if there were
+    /// fewer than two pieces.
     pub(crate) fn step(&self, pieces: u32, now: Instant) -> Option<f64> {
         let steps = pieces.checked_sub(1).filter(|&n| n > 0)?;
         let time = now.saturating_duration_since(self.first?);
         Some(time.as_secs_f64() / f64::from(steps))
     }
 
-    /// Returns how long the request held its slot, in seconds.
+    /// Returns how long the request occupied a slot, in seconds.
     pub(crate) fn service_time(&self, now: Instant) -> f64 {
         let time = now.saturating_duration_since(self.started);
         time.saturating_sub(self.wait).as_secs_f64()
@@ -55,14 +57,14 @@
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum End {
-    /// The answer came whole, in this many pieces.
+    /// The response was complete.
     Answered {
-        /// The pieces, usually tokens.
+        /// The number of pieces, usually tokens.
         pieces: u32,
     },
-    /// The endpoint failed: an error, a broken link or no answer in time.
+    /// The endpoint failed: an error, a broken link or a time-out.
     Failed,
-    /// The endpoint refused in good order, or the caller went away, so that
-    /// nothing is learnt of its health.
+    /// The endpoint refused the request properly or the caller cancelled it,
+    /// which gives no information on the endpoint's health.
     Inconclusive,
 }
--- a/crates/route/src/choice.rs
+++ b/crates/route/src/choice.rs
@@ -1,4 +1,4 @@
-//! The outcome of the routing decision.
+//! The result of a routing decision.
 
 use std::time::Duration;
 
@@ -7,76 +7,76 @@
 use cactusnotch_derive::record;
 use derive_more::{Display, Error};
 
-/// The endpoint that a request should go to.
+/// The endpoint selected for a request.
 #[record]
 pub struct Choice {
     /// The chosen endpoint.
     pub endpoint: Endpoint,
-    /// Why it was chosen.
+    /// The reason for the choice.
     pub reason: Reason,
-    /// The time to the first token that is expected of it.
+    /// The predicted time to the first token.
     pub predicted: Duration,
     /// The part of `predicted` that is spent waiting for a slot.
     pub wait: Duration,
-    /// The requests that are believed there, in hundredths of its slots.
+    /// The estimated number of requests on the endpoint, in percent of its slots.
     pub utilisation: u32,
-    /// How long a request of the service holds its slot.
+    /// The mean time that a request of the service occupies a slot.
     pub service_time: Duration,
-    /// The time to the first token that an endpoint of usual speed would take.
-    pub(crate) usual: Duration,
+    /// The predicted time to the first token on an endpoint of average speed.
+    pub(crate) baseline: Duration,
 }
 
 /// Why an endpoint was chosen.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Reason {
-    /// The prompt's prefix is likely in its cache.
+    /// The endpoint's cache is likely to contain the prompt's prefix.
     #[display("affinity")]
     Affinity,
-    /// It was the least loaded of those drawn in the entry's data centre.
+    /// It had the lowest cost of the endpoints sampled in the nearest data centre.
     #[display("load")]
     Load,
-    /// Nearer data centres are full.
+    /// All endpoints in nearer data centres are full.
     #[display("spill")]
     Spill,
-    /// All endpoints are full and it should be free first.
+    /// All endpoints are full and this one is predicted to have a free slot first.
     #[display("full")]
     Full,
-    /// It had been ejected and is tried again with this request.
+    /// The endpoint was ejected and this request probes it.
     #[display("probe")]
     Probe,
-    /// So many endpoints are ejected that ejections are ignored.
+    /// Too many endpoints are ejected, so ejections are ignored.
     #[display("panic")]
     Panic,
 }
 
-/// Why no endpoint could be chosen. The request has not left the entry.
+/// Why no endpoint was selected. The request has not left the entry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// No endpoint that this entry knows offers the service.
+    /// No endpoint in this entry's roster offers the service.
     #[display("no endpoint offers the service")]
     Unknown,
-    /// The endpoints that offer the service are leaving or unreachable.
+    /// All endpoints that offer the service are leaving or unreachable.
     #[display(
         "no endpoint of the service takes work: {leaving} leaving, {unreachable} unreachable"
     )]
     Unavailable {
-        /// The endpoints that are leaving.
+        /// The number of leaving endpoints.
         leaving: usize,
-        /// The endpoints that cannot be reached.
+        /// The number of unreachable endpoints.
         unreachable: usize,
     },
-    /// The endpoints that take work get none from this entry for now.
+    /// This entry currently withholds requests from the serving endpoints.
     #[display("{endpoints} endpoints get no request for now")]
     Withheld {
-        /// The endpoints that have not been tried.
+        /// The number of withheld endpoints without an attempt of this request.
         endpoints: usize,
-        /// When the first of them may get a request, if that is known.
+        /// The earliest time at which one of them may receive a request, if known.
         first: Option<Instant>,
     },
-    /// The request has been tried at every endpoint that takes work.
+    /// The request has been attempted on every serving endpoint.
     #[display("the request has been tried at all {endpoints} endpoints that take work")]
     Exhausted {
-        /// The endpoints that take work.
+        /// The number of serving endpoints.
         endpoints: usize,
     },
 }
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,4 +1,4 @@
-//! Ejection of endpoints that fail, and their way back.
+//! Ejection of failing endpoints and probing for their recovery.
 
 use std::time::Duration;
 
@@ -6,63 +6,64 @@
 
 use crate::Options;
 
-/// The record of an endpoint's failures.
+/// The failure history of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Health {
     failures: u32,
     ejections: u32,
-    until: Option<Instant>,
+    ejected_until: Option<Instant>,
     probing: bool,
 }
 
-/// Whether the record of failures allows a request.
+/// Whether an endpoint's failure history allows a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Fitness {
-    /// The endpoint is fit.
-    Fit,
-    /// The endpoint is due for one request that tries it.
-    Due,
-    /// The endpoint is ejected.
+pub(crate) enum Eligibility {
+    /// The endpoint is not ejected.
+    Eligible,
+    /// The ejection time is over; one request may probe the endpoint.
+    ProbeDue,
+    /// The endpoint is ejected, or a probe is in flight.
     Ejected,
 }
 
 impl Health {
-    /// Tells whether the endpoint may get a request.
-    pub(crate) fn fitness(&self, now: Instant) -> Fitness {
-        match self.until {
-            None => Fitness::Fit,
-            Some(until) if now >= until && !self.probing => Fitness::Due,
-            Some(_) => Fitness::Ejected,
+    /// Returns whether the endpoint may receive a request.
+    pub(crate) fn eligibility(&self, now: Instant) -> Eligibility {
+        match self.ejected_until {
+            None => Eligibility::Eligible,
+            Some(until) if now >= until && !self.probing => Eligibility::ProbeDue,
+            Some(_) => Eligibility::Ejected,
         }
     }
 
-    /// Notes that a request which tries the endpoint is under way.
+    /// Records that a probe request is in flight.
     pub(crate) fn begin_probe(&mut self) {
-        self.probing = self.until.is_some();
+        self.probing = self.ejected_until.is_some();
     }
 
-    /// Notes that a request which tried the endpoint ended without a verdict.
+    /// Records that a probe request ended without showing whether the endpoint works.
     pub(crate) fn abandon_probe(&mut self) {
         self.probing = false;
     }
 
-    /// Notes an answer.
+    /// Records a success, which clears the failure history.
     pub(crate) fn succeed(&mut self) {
         *self = Self::default();
     }
 
-    /// Notes a failure, which may eject the endpoint.
+    /// Records a failure, which may eject the endpoint.
     pub(crate) fn fail(&mut self, probe: bool, now: Instant, options: &Options) {
         self.failures = self.failures.saturating_add(1);
-        let ejected = self.until.is_some();
+        let ejected = self.ejected_until.is_some();
         if probe || (!ejected && self.failures >= options.failures) {
-            self.until = Some(now + self.term(options));
+            self.ejected_until = Some(now + self.ejection_time(options));
             self.ejections = self.ejections.saturating_add(1);
             self.probing = false;
         }
     }
 
-    fn term(&self, options: &Options) -> Duration {
+    /// Returns the length of the next ejection, which doubles with each one.
+    fn ejection_time(&self, options: &Options) -> Duration {
         let factor = 1_u32.checked_shl(self.ejections).unwrap_or(u32::MAX);
         options
             .ejection
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,9 +1,10 @@
-//! Decides which endpoint a request goes to.
+//! Selects the endpoint for a request.
 //!
-//! [`Router`] holds what one entry knows of its endpoints: the roster, their
-//! lagging load reports, the entry's own requests in flight and the times it
-//! measured. [`Router::choose`] picks an endpoint from that. The crate does no
-//! I/O; time and the random source are passed in.
+//! [`Router`] holds one entry's view of its endpoints: the roster, their load
+//! reports (which lag behind the actual load), the entry's own requests in
+//! flight and the latencies it measured. [`Router::choose`] selects an endpoint
+//! from this state. The crate does no I/O; time and the random source are
+//! passed in.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/route/src/load.rs
+++ b/crates/route/src/load.rs
@@ -1,18 +1,18 @@
-//! The work that an endpoint holds.
+//! The load of an endpoint.
 
 use cactusnotch_derive::number;
 
-/// The work that an endpoint holds.
+/// The load of an endpoint.
 #[number]
 pub struct Load {
-    /// The requests that run or wait.
+    /// The number of running and waiting requests.
     pub requests: u32,
-    /// The prompt tokens that have not been processed yet.
+    /// The number of prompt tokens not yet processed.
     pub backlog: u32,
 }
 
 impl Load {
-    /// Returns this load without `part`, at least nothing.
+    /// Returns this load minus `part`, saturating at zero.
     #[must_use]
     pub const fn without(self, part: Self) -> Self {
         Self {
--- a/crates/route/src/member.rs
+++ b/crates/route/src/member.rs
@@ -1,21 +1,22 @@
-//! An endpoint as the roster names it.
+//! An endpoint as listed in the roster.
 
 use cactusnotch_base::name::{DataCentre, Endpoint};
 use cactusnotch_derive::message;
 
 use crate::Service;
 
-/// An endpoint as the roster names it.
+/// An endpoint as listed in the roster.
 #[message]
 pub struct Member {
     /// The endpoint's name.
     pub name: Endpoint,
-    /// The data centre that it stands in.
+    /// The data centre in which the endpoint runs.
     pub data_centre: DataCentre,
-    /// What it serves.
+    /// The services that the endpoint offers.
     pub services: Vec<Service>,
-    /// The requests that it can run at once, until a report says otherwise.
+    /// The number of requests that it can run concurrently, until a load report
+    /// overrides it.
     pub slots: u32,
-    /// Its declared speed, where one is usual; measured times refine it.
+    /// The declared speed, where 1.0 is average; measured times refine it.
     pub speed: f64,
 }
--- a/crates/route/src/options.rs
+++ b/crates/route/src/options.rs
@@ -1,54 +1,55 @@
-//! Configuration of the routing decision.
+//! Configuration of routing.
 
 use std::time::Duration;
 
 use cactusnotch_base::name::DataCentre;
 
-/// Configuration of the routing decision of one entry.
+/// Configuration of one entry's router.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// The data centres in order of distance, the entry's own first. Those
-    /// that are not listed count as farthest.
+    /// The data centres in order of distance, the entry's own first.
+    /// Unlisted data centres count as farthest.
     pub nearest: Vec<DataCentre>,
-    /// How many endpoints are drawn at random and compared for a request.
+    /// How many endpoints are sampled at random and compared per request.
     pub sample_size: usize,
-    /// The fraction of its slots from which an endpoint counts as full.
+    /// The fraction of occupied slots from which an endpoint counts as full.
     pub full: f64,
-    /// The longest time after which half of a load report's weight is gone;
-    /// measured turnover shortens it.
+    /// The upper limit of the half-life of a load report's weight; the measured
+    /// turnover of requests shortens it.
     pub report_half_life: Duration,
-    /// The time without a report after which an endpoint that has reported before is
-    /// left to itself while others take work, if there is one.
+    /// The age of the last load report from which an endpoint is avoided while others
+    /// accept requests; `None` disables this. Endpoints that never reported are exempt.
     pub report_timeout: Option<Duration>,
-    /// The time after which half of a measured slowness is forgotten.
+    /// The half-life of a measured slowness.
     pub slowness_half_life: Duration,
-    /// How many times as loaded as the mean a preferred endpoint may be.
+    /// The load up to which a preferred endpoint is chosen, as a multiple of the mean.
     pub affinity_bound: f64,
-    /// The fraction of its slots up to which a preferred endpoint is taken
-    /// whatever the mean.
+    /// The fraction of occupied slots up to which a preferred endpoint is chosen
+    /// regardless of the mean.
     pub affinity_floor: f64,
-    /// How many endpoints of a prefix's preference order are tried; zero
-    /// turns affinity off.
+    /// How many endpoints in a prefix's preference order are considered; zero
+    /// disables affinity.
     pub affinity_width: usize,
-    /// How many blocks of a prompt name its prefix.
+    /// How many leading blocks of a prompt identify its prefix.
     pub affinity_blocks: usize,
-    /// The time to a first token on an idle endpoint, without the prompt.
+    /// The time to the first token on an idle endpoint, excluding prompt processing.
     pub base_time: Duration,
-    /// The time to process one token of a prompt.
+    /// The time to process one prompt token.
     pub token_time: Duration,
-    /// How long a request holds its slot, until that has been measured.
+    /// The assumed time that a request occupies a slot, until it has been measured.
     pub service_time: Duration,
-    /// The cost of each rank of distance.
+    /// The cost per step of distance in `nearest`.
     pub hop_time: Duration,
-    /// How many failures in a row eject an endpoint.
+    /// How many consecutive failures eject an endpoint.
     pub failures: u32,
-    /// How long the first ejection lasts; each further one lasts twice as
+    /// The length of the first ejection; each further one lasts twice as
     /// long.
     pub ejection: Duration,
     /// The longest ejection.
     pub ejection_max: Duration,
-    /// The fraction of a service's endpoints that may stay ejected; beyond
-    /// it ejections are ignored, since the fault is then rather ours.
+    /// The maximum fraction of a service's endpoints that may be ejected. Beyond
+    /// it, ejections are ignored, since the fault is then more likely on the
+    /// entry's side.
     pub ejected_max: f64,
 }
 
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -2,17 +2,17 @@
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The bytes of a prompt that one hash adds.
+/// The number of prompt bytes in a block.
 pub const BLOCK_LEN: usize = 256;
 
-/// The most hashes that a prompt gets.
+/// The maximum number of blocks hashed per prompt.
 pub const BLOCKS_MAX: usize = 16;
 
-/// Returns the chained hashes of the whole blocks at the start of `prompt`.
+/// Returns the chained hashes of the complete blocks at the start of `prompt`.
 ///
-/// Each hash covers all bytes up to its block's end, so that two prompts
-/// agree in a hash exactly if they agree up to there, but for collisions.
-/// `seed` keeps the prompts of one organisation or model apart from another's.
+/// Each hash covers all bytes up to the end of its block: barring collisions, two
+/// prompts share a hash exactly if they are equal up to that point.
+/// `seed` separates the prompts of different organisations or models.
 #[must_use]
 pub fn blocks(seed: u64, prompt: &[u8]) -> Vec<u64> {
     prompt
@@ -25,8 +25,8 @@
         .collect()
 }
 
-/// Returns the hash that names the first `depth` blocks of a prompt, or as
-/// many as it has.
+/// Returns the hash of the first `depth` blocks of a prompt, or of all its
+/// blocks if it has fewer.
 pub(crate) fn key(prefix: &[u64], depth: usize) -> Option<u64> {
     prefix[..prefix.len().min(depth)].last().copied()
 }
--- a/crates/route/src/report.rs
+++ b/crates/route/src/report.rs
@@ -1,4 +1,4 @@
-//! An endpoint's statement of its load.
+//! An endpoint's load report.
 
 use std::time::Duration;
 
@@ -6,20 +6,20 @@
 
 use crate::{Load, State};
 
-/// An endpoint's statement of its load, which may be old when it arrives.
+/// An endpoint's load report, which may be outdated on arrival.
 #[message]
 pub struct Report {
-    /// Whether the endpoint takes new work.
+    /// Whether the endpoint accepts new requests.
     pub state: State,
-    /// The requests that the endpoint can run at once.
+    /// The number of requests that the endpoint can run concurrently.
     pub slots: u32,
-    /// Everything that the endpoint holds.
+    /// The endpoint's total load.
     pub total: Load,
-    /// The part of `total` that came from the entry which gets the report;
-    /// `None` if the sender does not know.
+    /// The part of `total` sent by the entry that receives the report; `None` if
+    /// unknown to the reporter.
     pub mine: Option<Load>,
-    /// The entries that send it requests.
+    /// The number of entries that send requests to the endpoint.
     pub sharers: u32,
-    /// How old the statement is, as far as its senders measured that.
+    /// The age of the report, as measured by the processes that sent it.
     pub age: Duration,
 }
--- a/crates/route/src/request.rs
+++ b/crates/route/src/request.rs
@@ -1,23 +1,23 @@
-//! The routing decision's view of a request.
+//! The properties of a request that routing depends on.
 
 use cactusnotch_base::name::{DataCentre, Endpoint};
 
 use crate::Service;
 
-/// The routing decision's view of a request.
+/// The properties of a request that routing depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
-    /// What the request asks for.
+    /// The requested service.
     pub service: &'a Service,
-    /// The tokens of its prompt, or an estimate; zero for a plain service.
+    /// The number of prompt tokens, possibly estimated; zero for a plain service.
     pub tokens: u32,
-    /// The hashes of its prompt's blocks, from [`crate::prefix::blocks`].
+    /// The hashes of the prompt's blocks, from [`crate::prefix::blocks`].
     pub prefix: &'a [u64],
-    /// The endpoints that this request has been tried at already.
+    /// The endpoints on which this request has already been attempted.
     pub tried: &'a [Endpoint],
-    /// Whether the request may be used to try an ejected endpoint; it should
-    /// be idempotent for that.
+    /// Whether the request may probe an ejected endpoint, which requires that it
+    /// is idempotent.
     pub may_probe: bool,
-    /// The data centres whose endpoints may get it, `None` for all.
+    /// The data centres whose endpoints may receive the request; `None` allows all.
     pub allowed_data_centres: Option<&'a [DataCentre]>,
 }
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,4 +1,4 @@
-//! What one entry knows of its endpoints.
+//! One entry's view of its endpoints.
 
 use std::time::Duration;
 
@@ -10,11 +10,11 @@
 use crate::attempt::End;
 use crate::average::Average;
 use crate::choice::{Choice, Error, Reason};
-use crate::row::{Density, Reference, Row};
+use crate::row::{LoadEstimate, Reference, Row};
 use crate::selection::{Candidate, Selection};
 use crate::{Attempt, Load, Member, Options, Report, Request, Service, State, Withheld};
 
-/// What one entry knows of its endpoints, and the decision made from it.
+/// One entry's view of its endpoints, and the routing decisions based on it.
 #[derive(Debug)]
 pub struct Router {
     options: Options,
@@ -24,7 +24,7 @@
     candidates: Vec<Candidate>,
 }
 
-/// The endpoints of one service and what was measured over all of them.
+/// The endpoints of one service and the measurements over all of them.
 #[derive(Debug, Default)]
 struct Pool {
     /// Positions in [`Router::rows`].
@@ -32,8 +32,8 @@
     first: Average,
     step: Average,
     service_time: Average,
-    /// The other entries' load for each slot.
-    others: Density,
+    /// The mean load of the other entries per slot.
+    others: LoadEstimate,
 }
 
 impl Pool {
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Returns how long a request holds its slot, in seconds.
+    /// Returns how long a request occupies a slot, in seconds.
     fn service_time(&self, options: &Options) -> f64 {
         let declared = options.service_time.as_secs_f64();
         self.service_time.get().unwrap_or(declared)
@@ -53,7 +53,7 @@
 }
 
 impl Router {
-    /// Creates a router that knows no endpoints.
+    /// Creates a router without endpoints.
     #[must_use]
     pub const fn new(options: Options) -> Self {
         Self {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Replaces the options, from the next decision on.
+    /// Replaces the options.
     pub fn set_options(&mut self, options: Options) {
         self.options = options;
         for row in &mut self.rows {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Replaces the roster. What was measured of endpoints that stay is kept;
-    /// a new one counts as unreachable until [`Router::set_state`].
+    /// Replaces the roster. Endpoints that remain keep their measurements; new
+    /// ones count as unreachable until [`Router::set_state`].
     pub fn set_members(&mut self, members: &[Member]) {
         let mut rows: Vec<Row> = Vec::with_capacity(members.len());
         for member in members {
@@ -91,39 +91,39 @@
         rows.sort_by(|a, b| a.member.name.cmp(&b.member.name));
         rows.dedup_by(|a, b| a.member.name == b.member.name);
         self.rows = rows;
-        self.index();
+        self.rebuild_pools();
     }
 
-    /// Sets whether an endpoint takes new work.
+    /// Sets whether an endpoint accepts new requests.
     pub fn set_state(&mut self, endpoint: &Endpoint, state: State) {
         if let Some(at) = self.position(endpoint) {
             self.rows[at].state = state;
         }
     }
 
-    /// Leaves an endpoint to itself until a moment while others take work, or no
-    /// longer.
+    /// Avoids an endpoint until the given time while others accept requests; `None`
+    /// ends this.
     pub fn avoid(&mut self, endpoint: &Endpoint, until: Option<Instant>) {
         if let Some(at) = self.position(endpoint) {
             self.rows[at].avoided = until;
         }
     }
 
-    /// Sends an endpoint no request for a time, whatever others take, or no longer withholds
-    /// them.
+    /// Withholds requests from an endpoint, even if no other endpoint serves; `None` ends
+    /// this.
     pub fn withhold(&mut self, endpoint: &Endpoint, withheld: Option<Withheld>) {
         if let Some(at) = self.position(endpoint) {
             self.rows[at].withheld = withheld;
         }
     }
 
-    /// Returns whether an endpoint takes new work, if the roster names it.
+    /// Returns whether an endpoint accepts new requests, or `None` if the roster lacks it.
     #[must_use]
     pub fn state(&self, endpoint: &Endpoint) -> Option<State> {
         self.position(endpoint).map(|at| self.rows[at].state)
     }
 
-    /// Returns this entry's own load at an endpoint.
+    /// Returns the load of this entry's own requests on an endpoint.
     #[must_use]
     pub fn own_load(&self, endpoint: &Endpoint) -> Load {
         self.position(endpoint)
@@ -131,21 +131,21 @@
     }
 
     /// Returns how many more requests this entry may send to the endpoints of
-    /// a service at once, if each may hold `ahead` times as many as it has
-    /// slots. It is never less than an equal part among the entries; one that is withheld
-    /// has none.
+    /// a service if each may hold `overcommit` times its slots. Each endpoint
+    /// contributes at least an equal share among the entries, except that
+    /// withheld endpoints contribute nothing.
     #[must_use]
-    pub fn headroom(&self, service: &Service, ahead: f64, now: Instant) -> u32 {
+    pub fn headroom(&self, service: &Service, overcommit: f64, now: Instant) -> u32 {
         let Some(pool) = self.pools.get(service) else {
             return 0;
         };
         let rows = pool.members.iter().map(|&at| &self.rows[at]);
         let serving = rows.filter(|row| row.state == State::Serving);
         let serving = serving.filter(|row| row.withheld(now).is_none());
-        whole(serving.map(|row| row.room(ahead)).sum())
+        round_down(serving.map(|row| row.headroom(overcommit)).sum())
     }
 
-    /// Returns how long a request of a service holds its slot, as measured.
+    /// Returns the measured time that a request of a service occupies a slot.
     #[must_use]
     pub fn service_time(&self, service: &Service) -> Duration {
         let pool = self.pools.get(service);
@@ -154,7 +154,7 @@
         })
     }
 
-    /// Returns the services that are on offer, in order.
+    /// Returns the services that the endpoints offer, in order.
     pub fn services(&self) -> impl Iterator<Item = &Service> {
         self.pools.keys()
     }
@@ -167,21 +167,21 @@
             .max_by_key(|service| service.prefix_len())
     }
 
-    /// Takes a load report. One that says the endpoint is leaving withdraws
-    /// it; only [`Router::set_state`] makes it serve again.
+    /// Applies a load report. A report of a leaving endpoint ends its service;
+    /// only [`Router::set_state`] makes it serve again.
     pub fn apply_report(&mut self, endpoint: &Endpoint, report: &Report, now: Instant) {
         if let Some(at) = self.position(endpoint) {
             self.rows[at].set_report(report, now);
         }
     }
 
-    /// Chooses an endpoint for a request.
+    /// Selects an endpoint for a request.
     ///
     /// # Errors
     ///
-    /// Fails if no endpoint offers the service, none takes new work, all that do are
-    /// withheld, or the request has been tried at all that do. The request has not left
-    /// the entry then.
+    /// Fails if no endpoint offers the service, no endpoint is serving, or all serving
+    /// endpoints are withheld or have been tried. The request has then not left the
+    /// entry.
     pub fn choose(
         &mut self,
         request: &Request<'_>,
@@ -196,19 +196,19 @@
             reason: pick.reason,
             predicted: pick.predicted,
             wait: pick.wait,
-            utilisation: whole(pick.utilisation),
+            utilisation: round_down(pick.utilisation),
             service_time: Duration::from_secs_f64(service_time),
-            usual: pick.usual,
+            baseline: pick.baseline,
         })
     }
 
-    /// Prepares a decision among the endpoints of a service.
+    /// Prepares a selection among the endpoints of a service.
     fn select(&mut self, service: &Service, now: Instant) -> Option<(Selection<'_>, &[usize])> {
         let pool = self.pools.get_mut(service)?;
         let selection = Selection {
             reference: pool.reference(),
             service_time: pool.service_time(&self.options),
-            seen: &mut pool.others,
+            others_mean: &mut pool.others,
             options: &self.options,
             rows: &self.rows,
             now,
@@ -217,7 +217,7 @@
         Some((selection, &pool.members))
     }
 
-    /// Notes that a request goes to the chosen endpoint.
+    /// Records that a request is sent to the chosen endpoint.
     pub fn start(&mut self, choice: &Choice, request: &Request<'_>, now: Instant) -> Attempt {
         let probe = choice.reason == Reason::Probe;
         if let Some(at) = self.position(&choice.endpoint) {
@@ -232,7 +232,7 @@
             endpoint: choice.endpoint.clone(),
             service: request.service.clone(),
             tokens: request.tokens,
-            usual: choice.usual,
+            baseline: choice.baseline,
             wait: choice.wait,
             probe,
             started: now,
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Notes the first piece of an answer; later calls do nothing.
+    /// Records the first piece of a response; later calls have no effect.
     pub fn first_piece(&mut self, attempt: &mut Attempt, now: Instant) {
         if attempt.first.is_some() {
             return;
@@ -257,12 +257,12 @@
         }
     }
 
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt.
     pub fn finish(&mut self, attempt: &Attempt, end: End, now: Instant) {
         if let Some(at) = self.position(&attempt.endpoint) {
             let row = &mut self.rows[at];
-            release(row, attempt);
-            judge(row, attempt, end, now, &self.options);
+            subtract_load(row, attempt);
+            update_health(row, attempt, end, now, &self.options);
         }
         let End::Answered { pieces } = end else {
             return;
@@ -285,8 +285,8 @@
             .ok()
     }
 
-    /// Rebuilds the positions of each service's endpoints.
-    fn index(&mut self) {
+    /// Rebuilds the pools from the rows.
+    fn rebuild_pools(&mut self) {
         for (_, pool) in self.pools.iter_mut() {
             pool.members.clear();
         }
@@ -302,26 +302,26 @@
     }
 }
 
-/// Returns the whole part of a number of requests.
+/// Rounds a number of requests down.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a number of free slots is not negative and far below 2^32"
 )]
-const fn whole(requests: f64) -> u32 {
+const fn round_down(requests: f64) -> u32 {
     requests as u32
 }
 
-/// Takes an attempt off the entry's own load.
-fn release(row: &mut Row, attempt: &Attempt) {
+/// Subtracts an attempt from the entry's own load.
+fn subtract_load(row: &mut Row, attempt: &Attempt) {
     row.own.requests = row.own.requests.saturating_sub(1);
     if attempt.first.is_none() {
         row.own.backlog = row.own.backlog.saturating_sub(attempt.tokens);
     }
 }
 
-/// Draws the conclusion on an endpoint's health.
-fn judge(row: &mut Row, attempt: &Attempt, end: End, now: Instant, options: &Options) {
+/// Updates an endpoint's failure history.
+fn update_health(row: &mut Row, attempt: &Attempt, end: End, now: Instant, options: &Options) {
     match end {
         End::Answered { .. } => row.health.succeed(),
         End::Failed => row.health.fail(attempt.probe, now, options),
@@ -330,7 +330,8 @@
     }
 }
 
-/// Returns the rank of an endpoint's distance.
+/// Returns the position of an endpoint's data centre in [`Options::nearest`]; unlisted ones
+/// come last.
 fn distance(options: &Options, member: &Member) -> usize {
     options
         .nearest
--- a/crates/route/src/row.rs
+++ b/crates/route/src/row.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of one endpoint.
+//! The state that an entry keeps for one endpoint.
 
 use std::f64::consts::LN_2;
 
@@ -9,55 +9,57 @@
 use crate::health::Health;
 use crate::{Load, Member, Options, Report, State, Withheld};
 
-/// Bounds of a measured slowness, so that one sample cannot exile an endpoint.
+/// Bounds of a measured slowness: a single extreme sample must not exclude an endpoint.
 const SLOWNESS: std::ops::RangeInclusive<f64> = 0.1..=10.0;
 
-/// How much faster than by turnover alone a reported difference of load
-/// vanishes, for each standard deviation of the load. Chosen by measurement,
-/// see `docs/design/routing.md`.
+/// The additional decay of a load report for each standard deviation of the
+/// load. All entries send requests to slots that were reported as free, so a
+/// reported difference in load vanishes faster than requests turn over. See
+/// `docs/design/routing.md`.
 const REFILL: f64 = 3.0;
 
-/// What an entry knows of one endpoint.
+/// The state that an entry keeps for one endpoint.
 #[derive(Debug, Clone)]
 pub(crate) struct Row {
     pub(crate) member: Member,
-    /// The hash of the name, by which prefixes prefer endpoints.
+    /// The hash of the endpoint's name, for the rendezvous ranking of prefixes.
     pub(crate) hash: u64,
-    /// The rank of the data centre's distance.
+    /// The position of the data centre in [`Options::nearest`].
     pub(crate) distance: usize,
     pub(crate) state: State,
     pub(crate) slots: f64,
-    /// This entry's own requests.
+    /// The load of this entry's own requests.
     pub(crate) own: Load,
-    /// The requests of the other entries, as last reported.
+    /// The load of the other entries' requests, as last reported.
     pub(crate) others: Load,
-    /// The entries that send requests, as last reported.
+    /// The number of entries that send requests, as last reported.
     pub(crate) sharers: f64,
-    reported: Option<Instant>,
-    /// Until when the endpoint is left to itself while others take work.
+    /// When the last applied report was made.
+    reported_at: Option<Instant>,
+    /// Until when the endpoint is avoided while others accept requests.
     pub(crate) avoided: Option<Instant>,
-    /// Until when the endpoint gets no request, whatever others take.
+    /// Until when the endpoint receives no request, even if no other endpoint serves.
     pub(crate) withheld: Option<Withheld>,
     pub(crate) health: Health,
-    /// Measured first-token times as multiples of the undisturbed prediction.
+    /// Measured times to the first token, as multiples of the predicted baseline.
     pub(crate) first: Average,
     /// Measured times between tokens, in seconds.
     pub(crate) step: Average,
 }
 
-/// An estimated load, of an endpoint or for each slot.
+/// An estimated load, either of a whole endpoint or per slot.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(crate) struct Density {
+pub(crate) struct LoadEstimate {
     pub(crate) requests: f64,
     pub(crate) backlog: f64,
 }
 
-/// The reference values of a service's endpoints, which stand in for what is
-/// not known of one of them.
+/// The mean values over a service's endpoints, used where an endpoint has no
+/// recent value of its own.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Reference {
-    /// The other entries' load for each slot.
-    pub(crate) others: Density,
+    /// The other entries' load per slot.
+    pub(crate) others: LoadEstimate,
     /// The mean of [`Row::first`].
     pub(crate) first: f64,
     /// The mean of [`Row::step`].
@@ -75,7 +77,7 @@
             own: Load::default(),
             others: Load::default(),
             sharers: 1.0,
-            reported: None,
+            reported_at: None,
             avoided: None,
             withheld: None,
             health: Health::default(),
@@ -84,22 +86,22 @@
         }
     }
 
-    /// Takes over the roster's statement and keeps what was measured.
+    /// Applies a new roster entry and keeps the measurements.
     pub(crate) fn set_member(&mut self, member: Member, distance: usize) {
-        if self.reported.is_none() {
+        if self.reported_at.is_none() {
             self.slots = f64::from(member.slots.max(1));
         }
         self.member = member;
         self.distance = distance;
     }
 
-    /// Takes a report unless a newer one is known.
+    /// Applies a load report unless a newer one was applied before.
     pub(crate) fn set_report(&mut self, report: &Report, now: Instant) {
-        let made = now.checked_sub(report.age).unwrap_or(now);
-        if self.reported.is_some_and(|at| at > made) {
+        let made_at = now.checked_sub(report.age).unwrap_or(now);
+        if self.reported_at.is_some_and(|at| at > made_at) {
             return;
         }
-        self.reported = Some(made);
+        self.reported_at = Some(made_at);
         self.slots = f64::from(report.slots.max(1));
         self.sharers = f64::from(report.sharers.max(1));
         self.others = report.total.without(report.mine.unwrap_or(self.own));
@@ -108,21 +110,22 @@
         }
     }
 
-    /// Returns the weight of the last report and what is left of the load it
-    /// named.
+    /// Returns the weight of the last report, and the reported load with the
+    /// prompt backlog processed since.
     ///
-    /// Requests turn over within the time that they hold a slot, and faster
-    /// still since all entries fill up what was reported as free; prompts are
-    /// processed at a known rate, by which the backlog has shrunk since.
-    pub(crate) fn reported(
+    /// The weight decays with the turnover of requests, which is the time that
+    /// they occupy a slot, and faster because all entries fill the slots that
+    /// were reported as free. The backlog shrinks at the known rate of prompt
+    /// processing.
+    pub(crate) fn decayed_report(
         &self,
         options: &Options,
         service_time: f64,
         mean: f64,
         now: Instant,
-    ) -> (f64, Density) {
-        let Some(at) = self.reported else {
-            return (0.0, Density::default());
+    ) -> (f64, LoadEstimate) {
+        let Some(at) = self.reported_at else {
+            return (0.0, LoadEstimate::default());
         };
         let age = now.saturating_duration_since(at);
         let half_life = options
@@ -134,43 +137,44 @@
         let backlog = (f64::from(self.others.backlog) - drained).max(0.0);
         (
             weight,
-            Density {
+            LoadEstimate {
                 requests: f64::from(self.others.requests),
                 backlog,
             },
         )
     }
 
-    /// Tells whether the endpoint is left to itself while others take work: it is to be
-    /// avoided, or has fallen silent.
+    /// Returns whether the endpoint is avoided while others accept requests: by
+    /// [`Router::avoid`](crate::Router::avoid), or because its reports have stopped.
     pub(crate) fn is_avoided(&self, options: &Options, now: Instant) -> bool {
-        let silent = options.report_timeout.zip(self.reported);
-        let silent = silent.is_some_and(|(most, at)| now.saturating_duration_since(at) > most);
-        silent || self.avoided.is_some_and(|until| until > now)
+        let overdue = options.report_timeout.zip(self.reported_at);
+        let overdue =
+            overdue.is_some_and(|(timeout, at)| now.saturating_duration_since(at) > timeout);
+        overdue || self.avoided.is_some_and(|until| until > now)
     }
 
-    /// Returns until when the endpoint gets no request, if it is withheld still.
+    /// Returns until when requests are withheld from the endpoint, if they still are.
     pub(crate) fn withheld(&self, now: Instant) -> Option<Withheld> {
         self.withheld.filter(|withheld| withheld.is_active(now))
     }
 
-    /// Returns how many more requests this entry may send, if the endpoint may
-    /// hold `ahead` times as many as it has slots: what the others leave, and
-    /// an equal part in any case, since they may have left more by now.
-    pub(crate) fn room(&self, ahead: f64) -> f64 {
-        let all = self.slots * ahead;
+    /// Returns how many more requests this entry may send if the endpoint may
+    /// hold `overcommit` times its slots: what the other entries leave, but at
+    /// least an equal share, since their reported load may be outdated.
+    pub(crate) fn headroom(&self, overcommit: f64) -> f64 {
+        let all = self.slots * overcommit;
         let left = all - f64::from(self.others.requests);
-        let part = all / self.sharers;
-        (left.max(part) - f64::from(self.own.requests)).max(0.0)
+        let share = all / self.sharers;
+        (left.max(share) - f64::from(self.own.requests)).max(0.0)
     }
 
-    /// Returns how slow the endpoint is against the others of its service.
+    /// Returns the endpoint's slowness relative to the others of its service.
     pub(crate) fn slowness(&self, reference: &Reference, options: &Options, now: Instant) -> f64 {
         let half_life = options.slowness_half_life;
-        let first = self.first.get_towards(reference.first, half_life, now) / reference.first;
-        let step = reference.step.map_or(1.0, |mean| {
-            self.step.get_towards(mean, half_life, now) / mean
-        });
+        let first = self.first.decayed(reference.first, half_life, now) / reference.first;
+        let step = reference
+            .step
+            .map_or(1.0, |mean| self.step.decayed(mean, half_life, now) / mean);
         first.max(step).clamp(*SLOWNESS.start(), *SLOWNESS.end()) / self.member.speed
     }
 }
--- a/crates/route/src/selection.rs
+++ b/crates/route/src/selection.rs
@@ -1,4 +1,4 @@
-//! The choice among the endpoints of a service.
+//! The selection among the endpoints of a service.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -9,22 +9,22 @@
 use rand::seq::SliceRandom;
 
 use crate::choice::{Error, Reason};
-use crate::health::Fitness;
-use crate::row::{Density, Reference, Row};
+use crate::health::Eligibility;
+use crate::row::{LoadEstimate, Reference, Row};
 use crate::{Options, Request, State, Withheld, prefix, rendezvous};
 
-/// How much slower than the others a preferred endpoint may be.
+/// The slowness up to which affinity prefers an endpoint, relative to the others.
 const AFFINITY_SLOWNESS: f64 = 1.5;
 
-/// How many slots, weighted by freshness, a mean must rest on.
-const SLOTS_SEEN: f64 = 0.01;
+/// The minimum number of slots, weighted by the freshness of their reports, for a mean.
+const SLOTS_MIN: f64 = 0.01;
 
-/// An endpoint that could take a request.
+/// An endpoint that may receive the request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate {
-    /// The position of the endpoint's row.
+    /// The endpoint's position in [`Selection::rows`].
     pub(crate) row: usize,
-    fitness: Fitness,
+    eligibility: Eligibility,
     distance: usize,
     avoided: bool,
     slots: f64,
@@ -34,32 +34,32 @@
     weight: u64,
 }
 
-/// One decision: the candidates and what they are judged by.
+/// One routing decision: the candidates and the data to compare them.
 pub(crate) struct Selection<'a> {
     pub(crate) options: &'a Options,
     pub(crate) rows: &'a [Row],
     pub(crate) reference: Reference,
-    /// Takes the mean of the others' load that this decision sees.
-    pub(crate) seen: &'a mut Density,
-    /// How long a request of the service holds its slot, in seconds.
+    /// Receives the mean load of the other entries as computed by this decision.
+    pub(crate) others_mean: &'a mut LoadEstimate,
+    /// How long a request of the service occupies a slot, in seconds.
     pub(crate) service_time: f64,
     pub(crate) now: Instant,
     pub(crate) candidates: &'a mut Vec<Candidate>,
 }
 
-/// The endpoint that was chosen.
+/// The selected endpoint.
 pub(crate) struct Pick {
     pub(crate) row: usize,
     pub(crate) reason: Reason,
     pub(crate) predicted: Duration,
     pub(crate) wait: Duration,
-    /// The requests that are believed there, in hundredths of its slots.
+    /// The estimated number of requests on the endpoint, in percent of its slots.
     pub(crate) utilisation: f64,
-    pub(crate) usual: Duration,
+    pub(crate) baseline: Duration,
 }
 
 impl Selection<'_> {
-    /// Chooses among the endpoints at the positions `members`.
+    /// Selects among the endpoints at the positions `members`.
     pub(crate) fn run(
         mut self,
         members: &[usize],
@@ -68,9 +68,12 @@
     ) -> Result<Pick, Error> {
         self.collect(members, request)?;
         if request.may_probe
-            && let Some(due) = self.candidates.iter().find(|c| c.fitness == Fitness::Due)
+            && let Some(probe) = self
+                .candidates
+                .iter()
+                .find(|c| c.eligibility == Eligibility::ProbeDue)
         {
-            return Ok(self.pick(*due, Reason::Probe, request));
+            return Ok(self.pick(*probe, Reason::Probe, request));
         }
         let panic = self.drop_ejected();
         let (tier, reason) = self.nearest_tier();
@@ -80,11 +83,11 @@
         {
             return Ok(self.pick(preferred, Reason::Affinity, request));
         }
-        let chosen = self.least_of_drawn(tier, request, rng);
+        let chosen = self.cheapest_of_sample(tier, request, rng);
         Ok(self.pick(chosen, reason, request))
     }
 
-    /// Collects the endpoints that take work, may get the request and have not been tried.
+    /// Collects the serving endpoints that may receive the request and have not been tried.
     fn collect(&mut self, members: &[usize], request: &Request<'_>) -> Result<(), Error> {
         let mut tally = Tally::default();
         let mut mean = Mean::default();
@@ -101,7 +104,7 @@
                 State::Unreachable => tally.unreachable += 1,
                 State::Serving => {
                     tally.serving += 1;
-                    let (fresh, others) = row.reported(
+                    let (fresh, others) = row.decayed_report(
                         self.options,
                         self.service_time,
                         self.reference.others.requests,
@@ -112,7 +115,7 @@
                         continue;
                     }
                     if let Some(withheld) = row.withheld(self.now) {
-                        tally.withhold(withheld);
+                        tally.add_withheld(withheld);
                     } else {
                         let candidate = self.candidate(at, row, fresh, others);
                         self.candidates.push(candidate);
@@ -120,7 +123,7 @@
                 }
             }
         }
-        mean.store(self.seen);
+        mean.store(self.others_mean);
         if self.candidates.is_empty() {
             return Err(tally.error());
         }
@@ -130,14 +133,14 @@
         Ok(())
     }
 
-    /// Estimates an endpoint's load: its own requests are known, those of
-    /// others fade from the last report to the service's mean.
-    fn candidate(&self, at: usize, row: &Row, fresh: f64, others: Density) -> Candidate {
+    /// Estimates an endpoint's load: the entry's own requests are exact, those of
+    /// other entries decay from the last report to the service's mean.
+    fn candidate(&self, at: usize, row: &Row, fresh: f64, others: LoadEstimate) -> Candidate {
         let stale = (1.0 - fresh) * row.slots;
-        let Density { requests, backlog } = self.reference.others;
+        let LoadEstimate { requests, backlog } = self.reference.others;
         Candidate {
             row: at,
-            fitness: row.health.fitness(self.now),
+            eligibility: row.health.eligibility(self.now),
             distance: row.distance,
             avoided: row.is_avoided(self.options, self.now),
             slots: row.slots,
@@ -148,45 +151,46 @@
         }
     }
 
-    /// Drops ejected endpoints; returns whether there are too many to do so.
+    /// Drops ejected endpoints, or returns `true` if too many are ejected to do so.
     fn drop_ejected(&mut self) -> bool {
-        let fit = |c: &Candidate| c.fitness == Fitness::Fit;
+        let eligible = |c: &Candidate| c.eligibility == Eligibility::Eligible;
         let all = self.candidates.len();
-        let ejected = all - self.candidates.iter().filter(|c| fit(c)).count();
+        let ejected = all - self.candidates.iter().filter(|c| eligible(c)).count();
         if ejected == 0 {
             return false;
         }
         let panic = fraction(ejected, all) > self.options.ejected_max;
         if !panic {
-            self.candidates.retain(fit);
+            self.candidates.retain(eligible);
         }
         panic
     }
 
-    /// Moves the free endpoints of the nearest data centre that has any to the
-    /// front and returns their number, or takes all if none is free.
+    /// Moves the free endpoints of the nearest data centre with free endpoints to
+    /// the front and returns their number. If no endpoint is free, returns the
+    /// number of all candidates.
     fn nearest_tier(&mut self) -> (usize, Reason) {
         let full = self.options.full;
-        let free = |c: &Candidate| c.requests + 1.0 <= (c.slots * full).max(1.0);
-        let home = self.candidates.iter().map(|c| c.distance).min();
-        let nearest = self.candidates.iter().filter(|c| free(c));
-        let Some(distance) = nearest.map(|c| c.distance).min() else {
+        let is_free = |c: &Candidate| c.requests + 1.0 <= (c.slots * full).max(1.0);
+        let nearest = self.candidates.iter().map(|c| c.distance).min();
+        let with_free = self.candidates.iter().filter(|c| is_free(c));
+        let Some(distance) = with_free.map(|c| c.distance).min() else {
             return (self.candidates.len(), Reason::Full);
         };
         let mut tier = 0;
         for at in 0..self.candidates.len() {
             let candidate = &self.candidates[at];
-            if candidate.distance == distance && free(candidate) {
+            if candidate.distance == distance && is_free(candidate) {
                 self.candidates.swap(tier, at);
                 tier += 1;
             }
         }
-        let spilt = Some(distance) != home;
-        (tier, if spilt { Reason::Spill } else { Reason::Load })
+        let spilled = Some(distance) != nearest;
+        (tier, if spilled { Reason::Spill } else { Reason::Load })
     }
 
     /// Returns the first endpoint in the preference order of the request's
-    /// prefix that is loaded within the bound.
+    /// prefix whose load is within the bound.
     fn preferred(&mut self, tier: usize, request: &Request<'_>) -> Option<Candidate> {
         let width = self.options.affinity_width.min(tier);
         if width == 0 {
@@ -205,19 +209,19 @@
         preferred.iter().copied().find(|c| bound.allows(c, request))
     }
 
-    /// Draws a few endpoints and returns the one with the least expected cost.
-    fn least_of_drawn(
+    /// Samples a few endpoints at random and returns the one with the lowest expected cost.
+    fn cheapest_of_sample(
         &mut self,
         tier: usize,
         request: &Request<'_>,
         rng: &mut impl Rng,
     ) -> Candidate {
         let amount = self.options.sample_size.max(1);
-        let (drawn, _) = self.candidates[..tier].partial_shuffle(rng, amount);
-        let drawn = &*drawn;
-        let mut best = drawn[0];
+        let (sample, _) = self.candidates[..tier].partial_shuffle(rng, amount);
+        let sample = &*sample;
+        let mut best = sample[0];
         let mut least = f64::INFINITY;
-        for candidate in drawn {
+        for candidate in sample {
             let cost = cost(candidate, self.options, self.service_time, request);
             if cost < least {
                 (best, least) = (*candidate, cost);
@@ -229,7 +233,7 @@
     fn pick(&self, candidate: Candidate, reason: Reason, request: &Request<'_>) -> Pick {
         let wait = wait(&candidate, self.service_time);
         let predicted = wait + processing(&candidate, self.options, request);
-        let usual = Duration::try_from_secs_f64(predicted / candidate.slowness);
+        let baseline = Duration::try_from_secs_f64(predicted / candidate.slowness);
         let scale = |time: f64| Duration::try_from_secs_f64(time * self.reference.first);
         Pick {
             row: candidate.row,
@@ -237,25 +241,25 @@
             reason,
             predicted: scale(predicted).unwrap_or(Duration::MAX),
             wait: scale(wait).unwrap_or(Duration::MAX),
-            usual: usual.unwrap_or(Duration::MAX),
+            baseline: baseline.unwrap_or(Duration::MAX),
         }
     }
 }
 
-/// The endpoints of a service, by what keeps them from being candidates.
+/// The numbers of a service's endpoints by state, to explain a lack of candidates.
 #[derive(Default)]
 struct Tally {
     leaving: usize,
     unreachable: usize,
     serving: usize,
-    /// Those that serve, have not been tried and are withheld.
+    /// The serving endpoints that have not been tried and are withheld.
     withheld: usize,
-    /// When the first of these may get a request, if that is known of any.
+    /// The earliest time at which a withheld endpoint may receive a request, if known.
     first: Option<Instant>,
 }
 
 impl Tally {
-    fn withhold(&mut self, withheld: Withheld) {
+    fn add_withheld(&mut self, withheld: Withheld) {
         self.withheld += 1;
         self.first = match (self.first, withheld.ends_at()) {
             (Some(first), Some(end)) => Some(first.min(end)),
@@ -263,7 +267,7 @@
         };
     }
 
-    /// Returns why there is no candidate.
+    /// Returns the reason for the lack of candidates.
     const fn error(&self) -> Error {
         if self.withheld > 0 {
             Error::Withheld {
@@ -287,26 +291,26 @@
 #[derive(Default)]
 struct Mean {
     slots: f64,
-    sum: Density,
+    sum: LoadEstimate,
 }
 
 impl Mean {
-    fn add(&mut self, fresh: f64, slots: f64, others: Density) {
+    fn add(&mut self, fresh: f64, slots: f64, others: LoadEstimate) {
         self.slots += fresh * slots;
         self.sum.requests += fresh * others.requests;
         self.sum.backlog += fresh * others.backlog;
     }
 
-    /// Replaces `mean` unless there is too little to compute one from.
-    fn store(&self, mean: &mut Density) {
-        if self.slots >= SLOTS_SEEN {
+    /// Stores the mean, unless the reports are too few or too old.
+    fn store(&self, mean: &mut LoadEstimate) {
+        if self.slots >= SLOTS_MIN {
             mean.requests = self.sum.requests / self.slots;
             mean.backlog = self.sum.backlog / self.slots;
         }
     }
 }
 
-/// The load up to which a prefix's preferred endpoint is taken.
+/// The load up to which a preferred endpoint is chosen.
 struct Bound<'a> {
     options: &'a Options,
     requests: f64,
@@ -314,7 +318,7 @@
 }
 
 impl<'a> Bound<'a> {
-    /// Computes the mean load of `tier`, with the request that is to come.
+    /// Computes the bound from the mean load of `tier`, including the new request.
     fn new(tier: &[Candidate], options: &'a Options) -> Self {
         let capacity: f64 = tier.iter().map(capacity).sum();
         let requests: f64 = tier.iter().map(|c| c.requests).sum();
@@ -337,7 +341,7 @@
     }
 }
 
-/// Returns the slots of an endpoint, discounted by its slowness.
+/// Returns the number of an endpoint's slots, divided by its slowness.
 fn capacity(candidate: &Candidate) -> f64 {
     candidate.slots / candidate.slowness
 }
@@ -355,7 +359,7 @@
     candidate.slowness * time
 }
 
-/// Returns what sending the request to an endpoint costs, in seconds.
+/// Returns the expected cost of sending the request to an endpoint, in seconds.
 fn cost(candidate: &Candidate, options: &Options, service_time: f64, request: &Request<'_>) -> f64 {
     let hops = u32::try_from(candidate.distance).map_or(f64::MAX, f64::from);
     let occupancy = candidate.requests / capacity(candidate);
--- a/crates/route/src/service.rs
+++ b/crates/route/src/service.rs
@@ -1,22 +1,23 @@
-//! What a request asks for.
+//! The service that a request is addressed to.
 
 use cactusnotch_base::name::Model;
 use cactusnotch_derive::identifier;
 use derive_more::Display;
 
-/// What a request asks for: a model, or a plain service by its path.
+/// The service that a request is addressed to: a model, or a plain service
+/// identified by its path.
 #[identifier]
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Service {
     /// A model, served by model servers.
     Model(Model),
-    /// A plain service, named by the prefix of its paths.
+    /// A plain service, identified by its path prefix.
     Path(String),
 }
 
 impl Service {
-    /// Tells whether `path` lies under the prefix of this plain service.
+    /// Returns whether `path` is under the prefix of this plain service.
     #[must_use]
     pub fn covers(&self, path: &str) -> bool {
         match self {
--- a/crates/route/src/state.rs
+++ b/crates/route/src/state.rs
@@ -1,17 +1,17 @@
-//! Whether an endpoint takes new work.
+//! Whether an endpoint accepts new requests.
 
 use cactusnotch_derive::number;
 use derive_more::Display;
 
-/// Whether an endpoint takes new work.
+/// Whether an endpoint accepts new requests.
 #[number]
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// The endpoint takes new work.
+    /// The endpoint accepts new requests.
     #[display("serving")]
     Serving,
-    /// The endpoint finishes what it has and takes no new work.
+    /// The endpoint completes its current requests and accepts no new ones.
     #[display("leaving")]
     Leaving,
     /// The entry has no link to the endpoint.
--- a/crates/route/src/subset.rs
+++ b/crates/route/src/subset.rs
@@ -1,11 +1,11 @@
-//! Which endpoints an entry knows.
+//! Deterministic subsetting: which endpoints an entry connects to.
 //!
 //! In a large fleet an entry links to a bounded subset of a service's
 //! endpoints. Every process computes the same subsets from the same roster.
-//! Each entry prefers endpoints by rendezvous hashing; one that would get
-//! further ahead of the mean number of entries than [`SLACK`] is passed over,
-//! so that endpoints are known to nearly equally many entries and a change of
-//! the roster moves few links. Rosters that differ cost balance only.
+//! Each entry ranks endpoints by rendezvous hashing and skips an endpoint whose
+//! number of entries would exceed the mean by more than [`SLACK`]. Endpoints
+//! therefore serve nearly equal numbers of entries, and a roster change moves
+//! few links. Differing rosters only affect the balance.
 
 use std::cmp::Reverse;
 
@@ -13,11 +13,11 @@
 
 use crate::rendezvous::weight;
 
-/// How many entries more than the mean may know an endpoint.
+/// By how much an endpoint's number of entries may exceed the mean.
 pub const SLACK: usize = 1;
 
-/// Returns the positions in `endpoints` that the entry `me` knows, in order,
-/// or none if `entries` does not name it.
+/// Returns the subset of the entry `me` as sorted positions in `endpoints`. It is
+/// empty if `entries` does not contain `me`.
 #[must_use]
 pub fn of(me: &str, entries: &[&str], endpoints: &[&str], size: usize) -> Vec<usize> {
     let mut subset = Vec::new();
@@ -31,7 +31,7 @@
     subset
 }
 
-/// Returns the subset of each of `entries`, as positions in `endpoints`.
+/// Returns the subset of each entry as sorted positions in `endpoints`.
 #[must_use]
 pub fn all(entries: &[&str], endpoints: &[&str], size: usize) -> Vec<Vec<usize>> {
     let mut subsets = vec![Vec::new(); entries.len()];
@@ -43,12 +43,12 @@
     subsets
 }
 
-/// Calls `take` with each entry and its endpoints until it returns `false`.
+/// Calls `visit` with each entry and its endpoints until it returns `false`.
 fn assign(
     entries: &[&str],
     endpoints: &[&str],
     size: usize,
-    mut take: impl FnMut(usize, &[usize]) -> bool,
+    mut visit: impl FnMut(usize, &[usize]) -> bool,
 ) {
     let size = size.min(endpoints.len());
     if size == 0 {
@@ -59,23 +59,23 @@
         .map(|at| (xxh3_64(entries[at].as_bytes()), at))
         .collect();
     order.sort_unstable();
-    let mut known = vec![0_usize; endpoints.len()];
+    let mut entry_counts = vec![0_usize; endpoints.len()];
     let mut ranked: Vec<usize> = (0..endpoints.len()).collect();
-    for (turn, &(key, entry)) in order.iter().enumerate() {
-        let links = (turn + 1) * size;
+    for (index, &(key, entry)) in order.iter().enumerate() {
+        let links = (index + 1) * size;
         let most = links.div_ceil(endpoints.len()) + SLACK;
         let least = (links / endpoints.len()).saturating_sub(SLACK);
         let rank = |at: &usize| {
-            let excess = (known[*at] + 1).saturating_sub(most);
-            let behind = least.saturating_sub(known[*at]);
+            let excess = (entry_counts[*at] + 1).saturating_sub(most);
+            let behind = least.saturating_sub(entry_counts[*at]);
             (excess, Reverse(behind), Reverse(weight(key, hashes[*at])))
         };
         ranked.select_nth_unstable_by_key(size - 1, rank);
         let chosen = &ranked[..size];
         for &at in chosen {
-            known[at] += 1;
+            entry_counts[at] += 1;
         }
-        if !take(entry, chosen) {
+        if !visit(entry, chosen) {
             return;
         }
     }
--- a/crates/route/src/withheld.rs
+++ b/crates/route/src/withheld.rs
@@ -1,19 +1,19 @@
-//! Endpoints that serve, and get no request from this entry for a time.
+//! Temporary withholding of requests from a serving endpoint.
 
 use cactusnotch_base::clock::Instant;
 
-/// Until when an endpoint that serves gets no request from this entry. The longer of two is
-/// the greater one.
+/// Until when this entry withholds requests from a serving endpoint. The longer of two values
+/// compares as greater.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Withheld {
-    /// Until that moment.
+    /// Until the given time.
     Until(Instant),
-    /// Until it is known what ends it.
+    /// For an unknown time.
     Indefinitely,
 }
 
 impl Withheld {
-    /// Tells whether it still holds.
+    /// Returns whether requests are still withheld at `now`.
     #[must_use]
     pub fn is_active(self, now: Instant) -> bool {
         match self {
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Returns when it ends, if that is known.
+    /// Returns when withholding ends, or `None` if that is unknown.
     #[must_use]
     pub const fn ends_at(self) -> Option<Instant> {
         match self {
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -1,4 +1,4 @@
-//! The routing decision through the public API.
+//! Tests of routing through the public API.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// Returns a router whose members all serve.
+/// Returns a router whose members are all serving.
 fn router(members: &[Member]) -> Router {
     let mut router = Router::new(Options {
         nearest: vec![DataCentre::new("a"), DataCentre::new("b")],
@@ -44,7 +44,7 @@
     router
 }
 
-fn home(count: usize) -> Vec<Member> {
+fn local_members(count: usize) -> Vec<Member> {
     (0..count)
         .map(|at| member(&format!("s{at:02}"), "a"))
         .collect()
@@ -78,20 +78,20 @@
 #[test]
 fn an_avoided_endpoint_gets_work_only_if_no_other_has_any_to_take() {
     let now = clock::now();
-    let mut router = router(&home(2));
+    let mut router = router(&local_members(2));
     let (slow, other) = (Endpoint::new("s00"), Endpoint::new("s01"));
     router.avoid(&slow, Some(now + Duration::from_secs(1)));
     let mut rng = StdRng::seed_from_u64(1);
     let service = service();
     let mut choose = |tried: &[Endpoint], now| {
         let choice = router.choose(&request(&service, &[], tried), now, &mut rng);
-        choice.expect("both take work").endpoint
+        choice.expect("both endpoints are serving").endpoint
     };
     for _ in 0..20 {
         assert_eq!(choose(&[], now), other);
     }
     assert_eq!(choose(std::slice::from_ref(&other), now), slow);
-    // A word that is not renewed ends.
+    // Avoidance that is not renewed expires.
     let later = now + Duration::from_secs(2);
     assert!((0..20).any(|_| choose(&[], later) == slow));
 }
@@ -100,8 +100,11 @@
 fn a_withheld_endpoint_gets_nothing_whatever_others_take() {
     let now = clock::now();
     let second = Duration::from_secs(1);
-    let mut router = router(&home(3));
-    let names: Vec<_> = home(3).into_iter().map(|member| member.name).collect();
+    let mut router = router(&local_members(3));
+    let names: Vec<_> = local_members(3)
+        .into_iter()
+        .map(|member| member.name)
+        .collect();
     router.withhold(&names[0], Some(Withheld::Until(now + 2 * second)));
     router.withhold(&names[1], Some(Withheld::Indefinitely));
     let mut rng = StdRng::seed_from_u64(1);
@@ -117,8 +120,8 @@
     let withheld = |endpoints, first| Err(Error::Withheld { endpoints, first });
     let first = Some(now + 2 * second);
     assert_eq!(choose(&mut router, &tried, now), withheld(2, first));
-    // A roster that names it again lifts nothing.
-    router.set_members(&home(3));
+    // A roster that lists the endpoint again does not end withholding.
+    router.set_members(&local_members(3));
     assert_eq!(
         choose(&mut router, &tried, now + second),
         withheld(2, first)
@@ -162,18 +165,19 @@
     );
 }
 
-/// Pattern: a host that reported each 250 ms stands still. Without reports its load fades
-/// to the mean of the others, who fill up meanwhile, so that it would look idle.
+/// A host that reported every 250 ms stops responding. Without reports its estimated load
+/// decays to the mean of the other endpoints, which fill up meanwhile, so it would look idle
+/// in comparison.
 #[test]
 fn an_endpoint_that_has_fallen_silent_gets_work_only_if_no_other_has_any_to_take() {
     let now = clock::now();
-    let silence = Duration::from_millis(800);
-    let mut router = router(&home(2));
+    let timeout = Duration::from_millis(800);
+    let mut router = router(&local_members(2));
     router.set_options(Options {
-        report_timeout: Some(silence),
+        report_timeout: Some(timeout),
         ..Options::default()
     });
-    let (silent, other) = (Endpoint::new("s00"), Endpoint::new("s01"));
+    let (unresponsive, other) = (Endpoint::new("s00"), Endpoint::new("s01"));
     let report = |requests| Report {
         total: Load {
             requests,
@@ -187,18 +191,18 @@
     };
     let mut rng = StdRng::seed_from_u64(1);
     let service = service();
-    let later = now + silence + Duration::from_millis(1);
-    router.apply_report(&silent, &report(0), now);
+    let later = now + timeout + Duration::from_millis(1);
+    router.apply_report(&unresponsive, &report(0), now);
     router.apply_report(&other, &report(6), later);
     let mut choose = |tried: &[Endpoint], now| {
         let choice = router.choose(&request(&service, &[], tried), now, &mut rng);
-        choice.expect("both take work").endpoint
+        choice.expect("both endpoints are serving").endpoint
     };
-    assert!((0..20).any(|_| choose(&[], now) == silent));
+    assert!((0..20).any(|_| choose(&[], now) == unresponsive));
     for _ in 0..20 {
         assert_eq!(choose(&[], later), other);
     }
-    assert_eq!(choose(std::slice::from_ref(&other), later), silent);
+    assert_eq!(choose(std::slice::from_ref(&other), later), unresponsive);
 }
 
 proptest! {
@@ -209,15 +213,15 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the popularity of prefixes, an endpoint that affinity chose
-    /// holds no more than the bound over the mean.
+    /// For any popularity of prefixes, an endpoint chosen by affinity holds no
+    /// more requests than the affinity bound allows relative to the mean.
     #[test]
     fn affinity_never_loads_an_endpoint_beyond_the_bound(
         keys in prop::collection::vec(0_u64..4, 1..150),
         seed in any::<u64>(),
     ) {
         let service = service();
-        let members = home(12);
+        let members = local_members(12);
         let mut router = router(&members);
         let rng = &mut StdRng::seed_from_u64(seed);
         let now = clock::now();
@@ -226,7 +230,7 @@
         for key in keys {
             let prefix = [key];
             let request = request(&service, &prefix, &[]);
-            let choice = router.choose(&request, now, rng).expect("endpoints serve");
+            let choice = router.choose(&request, now, rng).expect("serving");
             router.start(&choice, &request, now);
             all += 1.0;
             if choice.reason == Reason::Affinity {
@@ -238,15 +242,15 @@
         }
     }
 
-    /// Endpoints that leave or cannot be reached, and those tried already,
-    /// get nothing, in whatever order that becomes known.
+    /// Leaving, unreachable and already tried endpoints receive no request,
+    /// regardless of the order in which their states are set.
     #[test]
     fn a_leaving_endpoint_gets_nothing(
         states in prop::collection::vec(0_u8..4, 1..12),
         seed in any::<u64>(),
     ) {
         let service = service();
-        let members = home(states.len());
+        let members = local_members(states.len());
         let mut router = router(&members);
         let now = clock::now();
         let mut out = Vec::new();
@@ -278,13 +282,17 @@
 #[test]
 fn a_prefix_stays_with_its_endpoint_until_that_is_loaded() {
     let service = service();
-    let mut router = router(&home(12));
+    let mut router = router(&local_members(12));
     let now = clock::now();
     let rng = &mut StdRng::seed_from_u64(1);
     let prompt = vec![7; 2 * prefix::BLOCK_LEN + 5];
     let prefix = prefix::blocks(1, &prompt);
     assert_eq!(prefix.len(), 2);
-    assert_ne!(prefix, prefix::blocks(2, &prompt), "seeds keep apart");
+    assert_ne!(
+        prefix,
+        prefix::blocks(2, &prompt),
+        "different seeds give different hashes"
+    );
     let request = request(&service, &prefix, &[]);
     let first = router.choose(&request, now, rng).expect("serving");
     assert_eq!(first.reason, Reason::Affinity);
@@ -311,7 +319,11 @@
         router.start(&choice, &request, now);
         reasons.push((choice.endpoint.as_str().to_owned(), choice.reason));
     }
-    assert_eq!(router.headroom(&service, 1.0, now), 0, "all is full");
+    assert_eq!(
+        router.headroom(&service, 1.0, now),
+        0,
+        "all endpoints are full"
+    );
     router.set_state(&members[0].name, State::Leaving);
     router.apply_report(&members[1].name, &report(0, Duration::ZERO), now);
     router.set_members(&[members.as_slice(), &[member("s3", "a")]].concat());
@@ -330,7 +342,7 @@
 #[test]
 fn own_requests_count_at_once_and_old_reports_fade() {
     let service = service();
-    let members = home(2);
+    let members = local_members(2);
     let mut router = router(&members);
     let now = clock::now();
     let rng = &mut StdRng::seed_from_u64(1);
@@ -346,10 +358,17 @@
         router.start(&choice, &request, now);
         counts[usize::from(choice.endpoint == members[1].name)] += 1;
     }
-    assert_eq!(counts, [0, 4], "new work goes where the report shows room");
+    assert_eq!(
+        counts,
+        [0, 4],
+        "new requests go where the report shows free slots"
+    );
     let later = now + Duration::from_secs(30);
     let choice = router.choose(&request, later, rng).expect("serving");
-    assert_eq!(choice.endpoint, members[0].name, "only own work is known");
+    assert_eq!(
+        choice.endpoint, members[0].name,
+        "after the reports have decayed only own requests count"
+    );
     router.apply_report(&members[0].name, &report(0, Duration::ZERO), later);
     let older = report(8, Duration::from_millis(1));
     router.apply_report(&members[0].name, &older, later);
@@ -363,7 +382,7 @@
 #[test]
 fn a_slow_endpoint_is_found_from_measured_times() {
     let service = service();
-    let members = home(2);
+    let members = local_members(2);
     let mut router = router(&members);
     let rng = &mut StdRng::seed_from_u64(1);
     let mut now = clock::now();
@@ -393,7 +412,7 @@
 #[test]
 fn a_failing_endpoint_is_ejected_and_probed_by_one_request() {
     let service = service();
-    let members = home(3);
+    let members = local_members(3);
     let mut router = router(&members);
     let rng = &mut StdRng::seed_from_u64(1);
     let mut now = clock::now();
@@ -433,7 +452,7 @@
 #[test]
 fn errors_tell_why_no_endpoint_was_chosen() {
     let (service, other) = (service(), Service::Path("/stock".to_owned()));
-    let members = home(2);
+    let members = local_members(2);
     let mut router = router(&members);
     let rng = &mut StdRng::seed_from_u64(1);
     let now = clock::now();
@@ -463,31 +482,31 @@
     let entries: Vec<&str> = entries.iter().map(String::as_str).collect();
     let endpoints: Vec<&str> = endpoints.iter().map(String::as_str).collect();
     let all = subset::all(&entries, &endpoints, 10);
-    let mut known = [0; 100];
+    let mut entry_counts = [0; 100];
     for (entry, subset) in entries.iter().zip(&all) {
         assert_eq!(subset, &subset::of(entry, &entries, &endpoints, 10));
         assert_eq!(subset.len(), 10);
         for &at in subset {
-            known[at] += 1;
+            entry_counts[at] += 1;
         }
     }
     assert!(
-        known.iter().all(|count| (4..=7).contains(count)),
-        "{known:?}"
+        entry_counts.iter().all(|count| (4..=7).contains(count)),
+        "{entry_counts:?}"
     );
     let fewer = subset::all(&entries, &endpoints[..99], 10);
     let kept = |(a, b): (&Vec<usize>, &Vec<usize>)| b.iter().filter(|at| a.contains(at)).count();
     let kept: usize = all.iter().zip(&fewer).map(kept).sum();
     assert!(
         kept >= 540,
-        "{kept} of 600 links stay when one endpoint goes"
+        "{kept} of 600 links remain after one endpoint is removed"
     );
 }
 
 #[test]
 fn an_entry_keeps_its_part_of_the_room_while_reports_tell_of_others() {
     let service = service();
-    let members = home(1);
+    let members = local_members(1);
     let mut router = router(&members);
     let now = clock::now();
     let rng = &mut StdRng::seed_from_u64(1);
@@ -501,19 +520,19 @@
     assert_eq!(
         router.headroom(&service, 1.0, now),
         SLOTS / 4,
-        "others hold all"
+        "other entries hold all slots"
     );
     let choice = router.choose(&request, now, rng).expect("serving");
     router.start(&choice, &request, now);
     assert_eq!(
         router.headroom(&service, 1.0, now),
         SLOTS / 4 - 1,
-        "own work counts"
+        "own requests count"
     );
     router.apply_report(name, &of_four(2), now);
     assert_eq!(
         router.headroom(&service, 1.0, now),
         SLOTS - 3,
-        "others left more"
+        "other entries hold fewer"
     );
 }
