--- a/crates/admit/examples/quota_cost.rs
+++ b/crates/admit/examples/quota_cost.rs
@@ -1,9 +1,9 @@
-//! Counts the messages and bytes of the exchange of caps at full size.
+//! Counts the messages and bytes of the exchange of quota in large fleets.
 //!
 //! `cargo run --release -p cactusnotch-admit --example quota_cost`
 //!
-//! Each request of an organisation lands at a random entry and runs for a
-//! second. Every organisation has a cap of its usual use plus a half.
+//! Requests arrive at random entries, or at random lenders of their cap, and run
+//! for one second. Every organisation's cap is 1.5 times its mean usage plus two.
 
 use std::time::Duration;
 
@@ -17,9 +17,9 @@
 
 const TICK: Duration = Duration::from_millis(50);
 const TICKS: u32 = 200;
-/// Ticks before anything is counted, so that parts are lent.
+/// The number of initial ticks that are not counted, until quota has been lent.
 const WARM_UP: u32 = 120;
-/// Requests a second of each entry.
+/// Requests per second and entry.
 const RATE: f64 = 38.0;
 
 #[derive(Default)]
@@ -38,23 +38,23 @@
         "{:>8} {:>14} {:>10} {:>10} {:>14} {:>12} {:>10}",
         "entries", "organisations", "messages", "bytes", "busiest, bytes", "cpu, us", "unmet"
     );
-    for at_home in [false, true] {
+    for at_lenders in [false, true] {
         println!(
-            "callers come to {}",
-            if at_home {
-                "the homes of their cap"
+            "callers connect to {}",
+            if at_lenders {
+                "the lenders of their cap"
             } else {
                 "any entry"
             }
         );
         for (entries, organisations) in [(9, 10), (10, 910), (40, 910), (160, 910), (380, 910)] {
-            report(entries, organisations, at_home);
+            report(entries, organisations, at_lenders);
         }
     }
 }
 
-fn report(entries: u32, organisations: u32, at_home: bool) {
-    let count = run(entries, organisations, at_home);
+fn report(entries: u32, organisations: u32, at_lenders: bool) {
+    let count = run(entries, organisations, at_lenders);
     let seconds = TICK.as_secs_f64() * f64::from(TICKS - WARM_UP);
     let each = |sum: u32| f64::from(sum) / seconds / f64::from(entries);
     println!(
@@ -67,7 +67,7 @@
     );
 }
 
-fn run(entries: u32, organisations: u32, at_home: bool) -> Count {
+fn run(entries: u32, organisations: u32, at_lenders: bool) -> Count {
     let start = clock::now();
     let names: Vec<Process> = (0..entries)
         .map(|at| Process::new(format!("entry-{at:03}")))
@@ -82,11 +82,11 @@
         .map(|rank| 1.0 / f64::from(rank))
         .collect();
     let sum: f64 = shares.iter().sum();
-    let usual = |share: f64| RATE * f64::from(entries) * share / sum;
+    let mean_usage = |share: f64| RATE * f64::from(entries) * share / sum;
     let caps: Table<Key, u32> = keys
         .iter()
         .zip(&shares)
-        .map(|(key, share)| (key.clone(), ceil(usual(*share) * 1.5 + 2.0)))
+        .map(|(key, share)| (key.clone(), ceil(mean_usage(*share) * 1.5 + 2.0)))
         .collect();
     let mut nodes: Vec<Exchange> = names
         .iter()
@@ -96,9 +96,9 @@
         node.set_caps(Revision(1), &names, caps.clone());
         node.confirm(Revision(1), start);
     }
-    let home = |name: &&Process| names.binary_search(name).expect("the entry is known");
-    let homes = |key: &Key| nodes[0].lenders(key).iter().map(home).collect();
-    let homes: Vec<Vec<usize>> = keys.iter().map(homes).collect();
+    let position = |name: &&Process| names.binary_search(name).expect("the entry exists");
+    let lenders = |key: &Key| nodes[0].lenders(key).iter().map(position).collect();
+    let lenders: Vec<Vec<usize>> = keys.iter().map(lenders).collect();
     let rng = &mut StdRng::seed_from_u64(4);
     let mut running: Vec<Vec<u32>> = vec![vec![0; keys.len()]; nodes.len()];
     let mut ends: Vec<Vec<(usize, usize)>> = vec![Vec::new(); 20];
@@ -114,8 +114,8 @@
         let arrivals = ceil(RATE * f64::from(entries) * TICK.as_secs_f64());
         for _ in 0..arrivals {
             let key = draw(&shares, sum, rng);
-            let node = if at_home {
-                homes[key][rng.random_range(0..homes[key].len())]
+            let node = if at_lenders {
+                lenders[key][rng.random_range(0..lenders[key].len())]
             } else {
                 rng.random_range(0..nodes.len())
             };
@@ -150,7 +150,7 @@
     count
 }
 
-/// Ticks all entries and delivers their messages until none is left.
+/// Ticks all entries and delivers all messages.
 fn exchange(
     nodes: &mut [Exchange],
     names: &[Process],
@@ -170,7 +170,7 @@
     *time += begun.elapsed();
     while let Some((from, to, message)) = posts.pop() {
         sent(from, &message);
-        let at = names.binary_search(&to).expect("the entry is known");
+        let at = names.binary_search(&to).expect("the entry exists");
         let begun = clock::now();
         let answers = nodes[at].receive(&names[from], &message, now);
         *time += begun.elapsed();
@@ -180,7 +180,7 @@
 
 fn size(message: &Message) -> u32 {
     let mut bytes = Vec::new();
-    ciborium::into_writer(message, &mut bytes).expect("a vector takes all");
+    ciborium::into_writer(message, &mut bytes).expect("writing to a vector succeeds");
     u32::try_from(bytes.len()).unwrap_or(u32::MAX)
 }
 
--- a/crates/admit/src/allowance.rs
+++ b/crates/admit/src/allowance.rs
@@ -1,13 +1,13 @@
-//! What an organisation may use at this entry.
+//! The limits of an organisation at this entry.
 
 use cactusnotch_derive::record;
 
-/// What an organisation may use at this entry now; `None` for no limit.
+/// The current limits of an organisation at this entry; `None` means unlimited.
 #[record]
 #[derive(Copy, Default)]
 pub struct Allowance {
-    /// Requests that run at once.
+    /// The maximum number of concurrent requests.
     pub concurrency: Option<u32>,
-    /// Requests that start within a second.
+    /// The maximum number of requests started per second.
     pub rate: Option<u32>,
 }
--- a/crates/admit/src/command.rs
+++ b/crates/admit/src/command.rs
@@ -1,10 +1,10 @@
-//! What a gate tells its driver to do.
+//! The commands of a gate to its driver.
 
 use cactusnotch_derive::record;
 
 use crate::{Refusal, Ticket};
 
-/// What a [`crate::Gate`] tells its driver to do.
+/// A command of a [`crate::Gate`] to its driver.
 #[record]
 pub enum Command {
     /// Run the request now.
--- a/crates/admit/src/flow.rs
+++ b/crates/admit/src/flow.rs
@@ -1,19 +1,19 @@
 //! The waiting requests of one organisation.
 
 use crate::Priority;
-use crate::drain::Drain;
+use crate::drain::DrainRate;
 use crate::lane::{Lane, Waiting};
 
 /// The waiting requests of one organisation, scheduled by start-time fair
-/// queueing over its priorities.
+/// queueing over the priorities.
 #[derive(Debug, Clone)]
 pub(crate) struct Flow {
     pub(crate) share: f64,
-    /// The virtual time of the gate at which the next request is due.
+    /// The gate's virtual time at which the next request is due.
     pub(crate) due: f64,
-    /// Whether the organisation's limits held it back at the last poll.
+    /// Whether the organisation's allowance prevented a start at the last poll.
     pub(crate) limited: bool,
-    pub(crate) drain: Drain,
+    pub(crate) drain: DrainRate,
     pub(crate) lanes: [Lane; Priority::ALL.len()],
     virtual_time: f64,
 }
@@ -24,7 +24,7 @@
             share: 1.0,
             due: 0.0,
             limited: false,
-            drain: Drain::new(drain),
+            drain: DrainRate::new(drain),
             lanes: Default::default(),
             virtual_time: 0.0,
         }
@@ -47,7 +47,7 @@
         lane.queue.push_back(waiting);
     }
 
-    /// Takes the request whose turn it is.
+    /// Removes the next request in scheduling order.
     pub(crate) fn pop(&mut self) -> Option<Waiting> {
         let priority = self.next_priority()?;
         let lane = &mut self.lanes[priority.index()];
@@ -65,26 +65,26 @@
         waiting.min_by(|a, b| lane(a).due.total_cmp(&lane(b).due))
     }
 
-    /// Takes the request that came last, from the lowest priority.
+    /// Removes the latest request of the lowest priority.
     pub(crate) fn pop_last(&mut self) -> Option<Waiting> {
         let mut lanes = self.lanes.iter_mut().rev();
         lanes.find_map(|lane| lane.queue.pop_back())
     }
 
-    /// Returns how many of the organisation's requests are served until the
-    /// one at `index` of the lane has been, by the priorities' weights.
-    pub(crate) fn turns(&self, priority: Priority, index: usize) -> f64 {
+    /// Returns how many of the organisation's requests are served up to and
+    /// including the one at `index` of the lane, by the priorities' weights.
+    pub(crate) fn served_until(&self, priority: Priority, index: usize) -> f64 {
         let own = float(index + 1);
-        let turns = |other: &Priority| {
+        let served = |other: &Priority| {
             let waiting = float(self.lanes[other.index()].queue.len());
             waiting.min(own * other.weight() / priority.weight())
         };
         let others = Priority::ALL.iter().filter(|&&other| other != priority);
-        own + others.map(turns).sum::<f64>()
+        own + others.map(served).sum::<f64>()
     }
 }
 
-/// Converts a number of requests, all of which are far below `u32::MAX`.
+/// Converts a number of requests, which is always far below `u32::MAX`.
 pub(crate) fn float(count: usize) -> f64 {
     u32::try_from(count).map_or(f64::MAX, f64::from)
 }
--- a/crates/admit/src/gate.rs
+++ b/crates/admit/src/gate.rs
@@ -1,4 +1,4 @@
-//! The queue before the endpoints of one service.
+//! The admission queue of one service.
 
 use std::time::Duration;
 
@@ -7,27 +7,27 @@
 use cactusnotch_base::name::Organisation;
 use rand::Rng;
 
-use crate::drain::Drain;
+use crate::drain::DrainRate;
 use crate::flow::{Flow, float};
 use crate::lane::Waiting;
 use crate::refusal::Reason;
 use crate::{Command, Options, Priority, Refusal, Request, Ticket};
 
-/// The longest wait that is told apart from an endless one.
+/// The upper bound of predicted waits.
 const WAIT_MAX: Duration = Duration::from_hours(1);
 
-/// The queue before the endpoints of one service.
+/// The admission queue of one service.
 ///
-/// Organisations get their turns by start-time fair queueing with shares. A
-/// request is refused as soon as its answer is predicted to be late, at its
-/// arrival or while it waits, and never held up to its deadline.
+/// Organisations are scheduled by start-time fair queueing, weighted by their
+/// shares. A request is refused as soon as its response is predicted to miss
+/// the deadline, on arrival or while it waits, rather than at the deadline.
 #[derive(Debug)]
 pub struct Gate {
     options: Options,
     flows: Table<Organisation, Flow>,
     waiting: usize,
     virtual_time: f64,
-    drain: Drain,
+    drain: DrainRate,
     next: Ticket,
     stopping: bool,
 }
@@ -37,7 +37,7 @@
     #[must_use]
     pub const fn new(options: Options) -> Self {
         Self {
-            drain: Drain::new(options.drain_rate),
+            drain: DrainRate::new(options.drain_rate),
             options,
             flows: Table::new(),
             waiting: 0,
@@ -52,41 +52,42 @@
         self.stopping = true;
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of waiting requests.
     #[must_use]
     pub const fn len(&self) -> usize {
         self.waiting
     }
 
-    /// Tells whether no request waits.
+    /// Returns whether no request is waiting.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.waiting == 0
     }
 
-    /// Returns the number of requests of an organisation that wait.
+    /// Returns the number of waiting requests of an organisation.
     #[must_use]
     pub fn waiting(&self, organisation: &Organisation) -> usize {
         self.flows.get(organisation).map_or(0, Flow::len)
     }
 
-    /// Returns the organisations with requests that wait, and how many.
+    /// Returns the organisations with waiting requests, and the number of these.
     pub fn demands(&self) -> impl Iterator<Item = (&Organisation, usize)> {
         let flows = self.flows.iter().map(|(name, flow)| (name, flow.len()));
         flows.filter(|(_, waiting)| *waiting > 0)
     }
 
-    /// Takes a request in, to be started by [`Gate::poll`]. `room` is the
-    /// number of requests that the endpoints could take at once. If another
-    /// request has to yield its place, a command to refuse it is appended.
+    /// Enqueues a request, to be started by [`Gate::poll`]. `free_slots` is the
+    /// number of requests that the endpoints could accept now. If another
+    /// request is evicted for it, a command to refuse that one is appended.
     ///
     /// # Errors
     ///
-    /// Refuses a request that would wait too long or finds no place.
+    /// Refuses a request that would miss its deadline, a request for which the
+    /// queue has no space, and all requests after [`Gate::stop`].
     pub fn enqueue(
         &mut self,
         request: &Request<'_>,
-        room: u32,
+        free_slots: u32,
         commands: &mut Vec<Command>,
         now: Instant,
         rng: &mut impl Rng,
@@ -95,13 +96,13 @@
             return Err(self.refusal(Reason::Stopping, Duration::ZERO, rng));
         }
         let options = &self.options;
-        let make = || Flow::new(options.drain_rate);
+        let new_flow = || Flow::new(options.drain_rate);
         let flow = self
             .flows
-            .get_or_insert_with(request.organisation.clone(), make);
+            .get_or_insert_with(request.organisation.clone(), new_flow);
         flow.share = f64::from(request.share.max(1));
         let ahead = flow.lanes[request.priority.index()].queue.len();
-        let wait = self.wait(request.organisation, request.priority, ahead, room);
+        let wait = self.wait(request.organisation, request.priority, ahead, free_slots);
         if ahead >= self.options.lane_max {
             return Err(self.refusal(Reason::QueueFull, wait, rng));
         }
@@ -111,7 +112,7 @@
             deadline: request.deadline,
             run: request.run,
         };
-        let late = waiting.late(wait, now);
+        let late = waiting.lateness(wait, now);
         if !late.is_zero() {
             return Err(self.refusal(Reason::Late { late }, late, rng));
         }
@@ -134,8 +135,9 @@
         }
     }
 
-    /// Frees a place at the cost of the organisation that holds the most for
-    /// its share, unless that is `organisation`, which wants the place.
+    /// Evicts a request of the organisation with the most waiting requests
+    /// relative to its share, for a new request of `organisation`. Fails if
+    /// `organisation` would itself be the one with the most.
     fn evict(
         &mut self,
         organisation: &Organisation,
@@ -160,8 +162,8 @@
         Ok(Command::Refuse(evicted.ticket, refusal))
     }
 
-    /// Takes out a request whose caller went away. Returns whether it still
-    /// waited; if so it has not run and never will.
+    /// Removes a request whose caller has disconnected. Returns whether it was
+    /// still waiting, in which case it has not run and never will.
     pub fn cancel(&mut self, organisation: &Organisation, ticket: Ticket) -> bool {
         let Some(flow) = self.flows.get_mut(organisation) else {
             return false;
@@ -175,14 +177,14 @@
         removed > 0
     }
 
-    /// Starts requests while there is `room`, in the organisations' turns,
-    /// and refuses those whose answers have become hopeless.
+    /// Starts up to `free_slots` requests in scheduling order, and refuses those
+    /// that are now predicted to miss their deadline.
     ///
-    /// `may_start` is asked before a request of an organisation is started
-    /// and has to count it if it agrees.
+    /// `may_start` is called before a request of an organisation is started and
+    /// must count the request if it returns `true`.
     pub fn poll(
         &mut self,
-        room: u32,
+        free_slots: u32,
         commands: &mut Vec<Command>,
         now: Instant,
         rng: &mut impl Rng,
@@ -193,7 +195,7 @@
         for (_, flow) in self.flows.iter_mut() {
             flow.limited = false;
         }
-        while started < room {
+        while started < free_slots {
             let Some(ticket) = self.start_next(&mut may_start, now) else {
                 break;
             };
@@ -202,14 +204,14 @@
         }
         self.drain
             .observe(started, waited, self.options.window, now);
-        self.refuse_hopeless(room - started, commands, now, rng);
+        self.refuse_late(free_slots - started, commands, now, rng);
         let virtual_time = self.virtual_time;
         self.flows
             .retain(|_, flow| !flow.is_empty() || flow.due > virtual_time);
     }
 
-    /// Takes the request whose turn it is among organisations that may start
-    /// one.
+    /// Removes the next request in scheduling order among the organisations that
+    /// may start one.
     fn start_next(
         &mut self,
         may_start: &mut impl FnMut(&Organisation) -> bool,
@@ -236,63 +238,63 @@
         }
     }
 
-    /// Refuses the requests whose answers are now predicted to be late.
-    fn refuse_hopeless(
+    /// Refuses the requests that are now predicted to miss their deadline.
+    fn refuse_late(
         &mut self,
-        room: u32,
+        free_slots: u32,
         commands: &mut Vec<Command>,
         now: Instant,
         rng: &mut impl Rng,
     ) {
-        let mut hopeless = Vec::new();
+        let mut overdue = Vec::new();
         for (name, flow) in self.flows.iter() {
             for priority in Priority::ALL {
                 let queue = &flow.lanes[priority.index()].queue;
                 let mut index = 0;
                 for waiting in queue {
-                    let late = waiting.late(self.wait(name, priority, index, room), now);
+                    let late = waiting.lateness(self.wait(name, priority, index, free_slots), now);
                     if late.is_zero() {
                         index += 1;
                     } else {
-                        hopeless.push((name.clone(), waiting.ticket, late));
+                        overdue.push((name.clone(), waiting.ticket, late));
                     }
                 }
             }
         }
-        for (name, ticket, late) in hopeless {
+        for (name, ticket, late) in overdue {
             self.cancel(&name, ticket);
             let refusal = self.refusal(Reason::Late { late }, late, rng);
             commands.push(Command::Refuse(ticket, refusal));
         }
     }
 
-    /// Predicts how long the request at `index` of a lane waits.
+    /// Predicts the wait of the request at `index` of a lane.
     fn wait(
         &self,
         organisation: &Organisation,
         priority: Priority,
         index: usize,
-        room: u32,
+        free_slots: u32,
     ) -> Duration {
         let Some(flow) = self.flows.get(organisation) else {
             return Duration::ZERO;
         };
-        let turns = flow.turns(priority, index);
+        let served = flow.served_until(priority, index);
         let (ahead, rate) = if flow.limited {
-            (turns, flow.drain.rate())
+            (served, flow.drain.rate())
         } else {
             let busy = self.flows.values().filter(|flow| !flow.is_empty());
             let shares: f64 = busy.map(|flow| flow.share).sum();
-            let by_share = turns * (shares / flow.share).max(1.0);
-            let ahead = by_share.min(float(self.waiting + 1)) - f64::from(room);
+            let by_share = served * (shares / flow.share).max(1.0);
+            let ahead = by_share.min(float(self.waiting + 1)) - f64::from(free_slots);
             (ahead, self.drain.rate())
         };
         let wait = Duration::try_from_secs_f64(ahead.max(0.0) / rate);
         wait.unwrap_or(WAIT_MAX).min(WAIT_MAX)
     }
 
-    /// Makes a refusal that asks the caller back after `wait`, or up to twice
-    /// that, so that refused callers do not return together.
+    /// Creates a refusal that asks the caller to retry after `wait`, with jitter of
+    /// up to the same time again to spread the retries of refused callers.
     fn refusal(&self, reason: Reason, wait: Duration, rng: &mut impl Rng) -> Refusal {
         let wait = wait.clamp(self.options.retry_min, self.options.retry_max);
         Refusal {
--- a/crates/admit/src/lane.rs
+++ b/crates/admit/src/lane.rs
@@ -1,4 +1,4 @@
-//! The waiting requests of one priority of an organisation.
+//! The waiting requests of one organisation and priority.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -17,14 +17,14 @@
 }
 
 impl Waiting {
-    /// Returns how late the answer would be after waiting for `wait`.
-    pub(crate) fn late(&self, wait: Duration, now: Instant) -> Duration {
+    /// Returns by how much the response would miss its deadline after waiting for `wait`.
+    pub(crate) fn lateness(&self, wait: Duration, now: Instant) -> Duration {
         let left = self.deadline.saturating_duration_since(now);
         wait.saturating_add(self.run).saturating_sub(left)
     }
 }
 
-/// The waiting requests of one priority, in order of arrival.
+/// The waiting requests of one organisation and priority, in order of arrival.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Lane {
     /// The virtual time at which the next request is due.
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decides which requests an entry lets in, and when.
+//! Admission control: decides which requests an entry admits, and when.
 //!
 //! [`Gate`] queues the requests of one service fairly over organisations and
-//! refuses those that would be late. [`Usage`] counts what runs for each
-//! organisation, and [`quota::Exchange`] moves the organisations' caps between
-//! the entries, so that they hold over all of them without a central counter.
-//! The crate does no I/O; time and the random source are passed in.
+//! refuses those that would miss their deadline. [`Usage`] counts the running
+//! requests of each organisation, and [`quota::Exchange`] distributes the
+//! organisations' caps between the entries, which enforces them globally
+//! without a central counter. The crate does no I/O; time and the random source
+//! are passed in.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/admit/src/options.rs
+++ b/crates/admit/src/options.rs
@@ -1,22 +1,22 @@
-//! Configuration of admission.
+//! Configuration of admission control.
 
 use std::time::Duration;
 
 /// Configuration of a [`crate::Gate`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// The most requests that wait in one rank of one organisation.
+    /// The maximum number of waiting requests per organisation and priority.
     pub lane_max: usize,
-    /// The most requests that wait in all.
+    /// The maximum number of waiting requests in total.
     pub queue_max: usize,
-    /// The requests a second that the queue is expected to drain, until that
-    /// has been measured.
+    /// The assumed drain rate in requests per second, until it has been
+    /// measured.
     pub drain_rate: f64,
-    /// The time over which the drain is measured.
+    /// The time over which the drain rate is averaged.
     pub window: Duration,
-    /// The shortest time after which a refused caller is asked to return.
+    /// The minimum time after which a refused caller is asked to retry, before jitter.
     pub retry_min: Duration,
-    /// The longest such time.
+    /// The maximum time after which a refused caller is asked to retry, before jitter.
     pub retry_max: Duration,
 }
 
--- a/crates/admit/src/priority.rs
+++ b/crates/admit/src/priority.rs
@@ -1,31 +1,31 @@
-//! The rank of a request among those of its organisation.
+//! The priority of a request among those of its organisation.
 
 use cactusnotch_derive::number;
 use derive_more::Display;
 
-/// The rank of a request among those of its organisation.
+/// The priority of a request among those of its organisation.
 ///
-/// A priority buys no advantage over other organisations, whose shares hold
-/// whatever the priorities. Under backlog the ranks of one organisation get
-/// its turns in the ratio 16 : 4 : 1, so that none starves.
+/// A priority gives no advantage over other organisations, since their shares
+/// apply regardless of priorities. Under backlog the priorities of one
+/// organisation are served in the ratio 16 : 4 : 1, which prevents starvation.
 #[number]
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Priority {
-    /// Somebody waits for the answer, such as a caller on hold.
+    /// Interactive requests, such as those of a caller on hold.
     #[display("high")]
     High,
-    /// The usual rank.
+    /// The default.
     #[default]
     #[display("normal")]
     Normal,
-    /// Work that can wait.
+    /// Requests that can wait.
     #[display("low")]
     Low,
 }
 
 impl Priority {
-    /// All ranks, the highest first.
+    /// All priorities, the highest first.
     pub const ALL: [Self; 3] = [Self::High, Self::Normal, Self::Low];
 
     pub(crate) const fn index(self) -> usize {
--- a/crates/admit/src/quota.rs
+++ b/crates/admit/src/quota.rs
@@ -1,12 +1,13 @@
-//! Organisations' caps that hold over all entries without a central counter.
+//! Caps on organisations, enforced over all entries without a central counter.
 //!
-//! A cap is divided among a few home entries of the organisation, chosen from
-//! the roster. An entry that has work for the organisation borrows from the
-//! homes, itself included if it is one. A home counts a loan before it says
-//! so, a borrower drops what it holds before it says so, and a loan ends
-//! earlier on the borrower's clock than on the home's. So the sum of what the
-//! entries hold never exceeds the cap, whatever messages are lost, repeated or
-//! late; what a lost message leaves unused comes back when the loan ends.
+//! A cap is divided among a few entries, the lenders, which are chosen from the
+//! roster by the organisation. An entry with work for the organisation borrows
+//! quota from the lenders, including itself if it is one. A lender counts lent
+//! quota before it sends the grant, a borrower drops returned quota before it
+//! sends the ask, and lent quota expires earlier on the borrower's clock than
+//! on the lender's. The quota held by all entries therefore never exceeds the
+//! cap, even if messages are lost, repeated or late. Quota left unused by a lost
+//! message becomes available again when it expires.
 
 pub mod exchange;
 pub mod message;
@@ -14,11 +15,11 @@
 pub mod unit;
 
 mod account;
+mod balance;
 mod borrower;
-mod homes;
 mod lender;
+mod lenders;
 mod plan;
-mod purse;
 
 pub use exchange::Exchange;
 pub use message::{Ask, Grant, Message};
--- a/crates/admit/src/quota/account.rs
+++ b/crates/admit/src/quota/account.rs
@@ -1,4 +1,4 @@
-//! A home's part of one cap and the loans from it.
+//! The quota lent from a lender's allotment of one cap.
 
 use std::time::Duration;
 
@@ -9,18 +9,18 @@
 
 use crate::quota::{Ask, Grant};
 
-/// The loans from a home's part of one cap.
+/// The quota lent from a lender's allotment of one cap.
 #[derive(Debug, Default)]
 pub(crate) struct Account {
-    loans: Table<(Process, Incarnation), Loan>,
-    /// Which borrowers get what cannot be divided evenly; it advances so that
-    /// all get it in turn.
-    turn: usize,
-    turned: Option<Instant>,
+    quotas: Table<(Process, Incarnation), LentQuota>,
+    /// Selects the borrowers that get the remainder of an even division; it
+    /// advances to give it to all of them in rotation.
+    rotation: usize,
+    rotated_at: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Loan {
+struct LentQuota {
     number: Sequence,
     amount: u32,
     wants: u32,
@@ -28,61 +28,64 @@
 }
 
 impl Account {
-    /// Forgets the loans that have ended, and begins a new turn every `hold`.
+    /// Drops expired quota and advances the rotation every `hold`.
     pub(crate) fn expire(&mut self, hold: Duration, now: Instant) {
-        self.loans.retain(|_, loan| loan.until > now);
-        let turned = *self.turned.get_or_insert(now);
-        if now.saturating_duration_since(turned) >= hold {
-            self.turned = Some(now);
-            self.turn = self.turn.wrapping_add(1);
+        self.quotas.retain(|_, quota| quota.until > now);
+        let rotated_at = *self.rotated_at.get_or_insert(now);
+        if now.saturating_duration_since(rotated_at) >= hold {
+            self.rotated_at = Some(now);
+            self.rotation = self.rotation.wrapping_add(1);
         }
     }
 
     pub(crate) fn is_empty(&self) -> bool {
-        self.loans.is_empty()
+        self.quotas.is_empty()
     }
 
     fn lent(&self) -> u32 {
-        self.loans.values().map(|loan| loan.amount).sum()
+        self.quotas.values().map(|quota| quota.amount).sum()
     }
 
-    /// Answers an ask out of `part`, unless a newer one is known. The loan is
-    /// counted before the answer exists.
+    /// Handles an ask out of `allotment`, unless it is older than one handled
+    /// before. The lent quota is counted before the grant is returned.
     ///
-    /// What a borrower holds is never lowered by an answer, which could be
-    /// lost; if the part has shrunk below the loans they are not renewed.
-    pub(crate) fn ask(
+    /// A grant never lowers what a borrower holds, since the grant could be
+    /// lost. If the allotment has shrunk below the lent quota, that is not
+    /// renewed.
+    pub(crate) fn handle_ask(
         &mut self,
         borrower: &(Process, Incarnation),
         ask: &Ask,
-        part: u32,
+        allotment: u32,
         until: Instant,
     ) -> Option<Grant> {
-        let known = self.loans.get(borrower);
-        if known.is_some_and(|loan| loan.number >= ask.number) {
+        let previous = self.quotas.get(borrower);
+        if previous.is_some_and(|quota| quota.number >= ask.number) {
             return None;
         }
-        let holds = ask.holds.min(known.map_or(0, |loan| loan.amount));
-        let others = self.lent() - known.map_or(0, |loan| loan.amount);
-        let over = holds > 0 && others + holds > part;
-        let loan = Loan {
+        let holds = ask.holds.min(previous.map_or(0, |quota| quota.amount));
+        let others = self.lent() - previous.map_or(0, |quota| quota.amount);
+        let over_allotment = holds > 0 && others + holds > allotment;
+        let quota = LentQuota {
             number: ask.number,
             amount: holds,
             wants: ask.wants,
-            until: known.filter(|_| over).map_or(until, |loan| loan.until),
+            until: previous
+                .filter(|_| over_allotment)
+                .map_or(until, |quota| quota.until),
         };
-        self.loans.insert(borrower.clone(), loan);
+        self.quotas.insert(borrower.clone(), quota);
         if ask.wants == 0 {
-            self.loans.remove(borrower);
+            self.quotas.remove(borrower);
         }
-        if over || ask.wants == 0 {
+        if over_allotment || ask.wants == 0 {
             return None;
         }
-        let free = part.saturating_sub(others + holds);
-        let target = self.fair_part(borrower, part).min(ask.wants);
+        let free = allotment.saturating_sub(others + holds);
+        let target = self.fair_amount(borrower, allotment).min(ask.wants);
         let amount = target.min(holds + free).max(holds);
-        let loan = self.loans.get_mut(borrower)?;
-        loan.amount = amount;
+        let quota = self.quotas.get_mut(borrower)?;
+        quota.amount = amount;
         Some(Grant {
             number: ask.number,
             amount,
@@ -90,34 +93,39 @@
         })
     }
 
-    /// Returns the most that a borrower should have if the wants exceed
-    /// `part`: whoever wants less than an even part gets that, and the others
-    /// divide the rest evenly.
-    fn fair_part(&self, borrower: &(Process, Incarnation), part: u32) -> u32 {
-        let mut wants: Vec<u32> = self.loans.values().map(|loan| loan.wants).collect();
+    /// Returns the max-min fair amount for a borrower: borrowers that want less
+    /// than an even part of `allotment` get what they want, and the others divide
+    /// the remainder evenly.
+    fn fair_amount(&self, borrower: &(Process, Incarnation), allotment: u32) -> u32 {
+        let mut wants: Vec<u32> = self.quotas.values().map(|quota| quota.wants).collect();
         wants.sort_unstable();
-        let mut left = part;
+        let mut left = allotment;
         let mut others = u32::try_from(wants.len()).unwrap_or(u32::MAX);
         for want in wants {
             let level = left / others;
             if want > level {
-                return level + u32::from(self.gets_rest(borrower, level, left % others));
+                return level + u32::from(self.gets_remainder(borrower, level, left % others));
             }
             left -= want;
             others -= 1;
         }
-        part
+        allotment
     }
 
-    /// Tells whether a borrower is among the `rest` who get one more than
-    /// `level` in this turn.
-    fn gets_rest(&self, borrower: &(Process, Incarnation), level: u32, rest: u32) -> bool {
-        let hungry = self.loans.iter().filter(|(_, loan)| loan.wants > level);
-        let hungry: Vec<_> = hungry.map(|(name, _)| name).collect();
-        let Some(at) = hungry.iter().position(|name| *name == borrower) else {
+    /// Returns whether a borrower is one of the `remainder` borrowers that get one
+    /// more than `level` in the current rotation.
+    fn gets_remainder(
+        &self,
+        borrower: &(Process, Incarnation),
+        level: u32,
+        remainder: u32,
+    ) -> bool {
+        let unsatisfied = self.quotas.iter().filter(|(_, quota)| quota.wants > level);
+        let unsatisfied: Vec<_> = unsatisfied.map(|(name, _)| name).collect();
+        let Some(at) = unsatisfied.iter().position(|name| *name == borrower) else {
             return false;
         };
-        let rank = (at + self.turn) % hungry.len();
-        u32::try_from(rank).is_ok_and(|rank| rank < rest)
+        let rank = (at + self.rotation) % unsatisfied.len();
+        u32::try_from(rank).is_ok_and(|rank| rank < remainder)
     }
 }
--- a/crates/admit/src/quota/borrower.rs
+++ b/crates/admit/src/quota/borrower.rs
@@ -6,17 +6,18 @@
 use cactusnotch_base::number::{Incarnation, Sequence};
 use xxhash_rust::xxh3::xxh3_64;
 
+use crate::quota::balance::Balance;
 use crate::quota::plan::Plan;
-use crate::quota::purse::Purse;
 use crate::quota::{Ask, Grant, Key, Options};
 
-/// The borrower's side of the exchange: what it holds of the caps.
+/// The borrower's side of the exchange: the quota it holds of the caps.
 #[derive(Debug)]
 pub(crate) struct Borrower {
     pub(crate) incarnation: Incarnation,
     last: Sequence,
-    purses: Table<Key, Purse>,
-    /// The cap after which the next tick starts, so that all get a turn.
+    balances: Table<Key, Balance>,
+    /// The last cap served by a tick. The next tick starts after it, which serves all caps
+    /// in rotation.
     resume: Option<Key>,
 }
 
@@ -25,28 +26,32 @@
         Self {
             incarnation,
             last: Sequence(0),
-            purses: Table::new(),
+            balances: Table::new(),
             resume: None,
         }
     }
 
     pub(crate) fn set_demand(&mut self, key: &Key, used: u32, wanted: u32, now: Instant) {
-        if wanted > 0 || self.purses.contains(key) {
-            let make = || Purse::new(now);
-            let purse = self.purses.get_or_insert_with(key.clone(), make);
-            purse.set_demand(used, wanted);
+        if wanted > 0 || self.balances.contains(key) {
+            let make = || Balance::new(now);
+            let balance = self.balances.get_or_insert_with(key.clone(), make);
+            balance.set_demand(used, wanted);
         }
     }
 
     pub(crate) fn held(&self, key: &Key, now: Instant) -> u32 {
-        self.purses.get(key).map_or(0, |purse| purse.held(now))
+        self.balances
+            .get(key)
+            .map_or(0, |balance| balance.held(now))
     }
 
     pub(crate) fn room(&self, key: &Key, now: Instant) -> u32 {
-        self.purses.get(key).map_or(0, |purse| purse.room(now))
+        self.balances
+            .get(key)
+            .map_or(0, |balance| balance.room(now))
     }
 
-    /// Returns the asks that are due, with the homes that get them.
+    /// Returns the asks that are due, each with the lender that receives it.
     pub(crate) fn tick(
         &mut self,
         me: &Process,
@@ -55,22 +60,22 @@
         now: Instant,
     ) -> Vec<(Process, Ask)> {
         let mut asks = Vec::new();
-        for key in self.turn() {
+        for key in self.rotated_keys() {
             if asks.len() >= options.asks {
                 break;
             }
             asks.extend(self.ask(me, &key, plan, options, now));
             self.resume = Some(key);
         }
-        self.purses.retain(|_, purse| !purse.is_idle());
+        self.balances.retain(|_, balance| !balance.is_idle());
         asks
     }
 
-    /// Returns the active caps, from the one after the last served.
-    fn turn(&self) -> Vec<Key> {
+    /// Returns the active caps, starting after the one served last.
+    fn rotated_keys(&self) -> Vec<Key> {
         let after = |key: &&Key| self.resume.as_ref().is_none_or(|resume| *key > resume);
-        let later = self.purses.keys().filter(after);
-        let earlier = self.purses.keys().filter(|key| !after(key));
+        let later = self.balances.keys().filter(after);
+        let earlier = self.balances.keys().filter(|key| !after(key));
         later.chain(earlier).cloned().collect()
     }
 
@@ -83,49 +88,50 @@
         options: &Options,
         now: Instant,
     ) -> Option<(Process, Ask)> {
-        let purse = self.purses.get_mut(key)?;
-        purse.expire(now, options.retention);
-        purse.set_homes(plan.newest(), || order(me, plan.homes(key, options)));
-        let due = purse.next_ask(options, now)?;
+        let balance = self.balances.get_mut(key)?;
+        balance.expire(now, options.retention);
+        balance.set_lenders(plan.newest(), || ask_order(me, plan.lenders(key, options)));
+        let due = balance.next_ask(options, now)?;
         self.last = self.last.next();
-        let home = due.home.clone();
+        let lender = due.lender.clone();
         let ask = Ask {
             key: key.clone(),
             number: self.last,
             holds: due.holds,
             wants: due.wants,
         };
-        purse.asked(due, self.last, now);
-        Some((home, ask))
+        balance.record_ask(due, self.last, now);
+        Some((lender, ask))
     }
 
-    /// Takes a grant if it answers the last ask for a cap at that home, and
+    /// Applies a grant if it answers the last ask for a cap to that lender, and
     /// returns the cap.
-    pub(crate) fn grant(
+    pub(crate) fn apply_grant(
         &mut self,
-        home: &Process,
+        lender: &Process,
         grant: &Grant,
         options: &Options,
         now: Instant,
     ) -> Option<Key> {
-        let mut purses = self.purses.iter_mut();
-        let taken = purses.find_map(|(key, purse)| {
-            let answers = purse.grant(home, grant, options, now);
+        let mut balances = self.balances.iter_mut();
+        let applied = balances.find_map(|(key, balance)| {
+            let answers = balance.apply_grant(lender, grant, options, now);
             answers.then_some(key)
         });
-        taken.cloned()
+        applied.cloned()
     }
 }
 
-/// Puts homes into the order in which `me` tries them: itself first, then the
-/// others from a place that differs between entries.
-fn order(me: &Process, mut homes: Vec<&Process>) -> Vec<Process> {
-    if let Some(at) = homes.iter().position(|home| *home == me) {
-        homes.rotate_left(at);
-    } else if let Ok(count) = u64::try_from(homes.len())
+/// Returns the lenders in the order in which `me` asks them: itself first if it is
+/// one, otherwise starting at a position that depends on its name to spread the
+/// load.
+fn ask_order(me: &Process, mut lenders: Vec<&Process>) -> Vec<Process> {
+    if let Some(at) = lenders.iter().position(|lender| *lender == me) {
+        lenders.rotate_left(at);
+    } else if let Ok(count) = u64::try_from(lenders.len())
         && let Some(at) = xxh3_64(me.as_str().as_bytes()).checked_rem(count)
     {
-        homes.rotate_left(usize::try_from(at).unwrap_or(0));
+        lenders.rotate_left(usize::try_from(at).unwrap_or(0));
     }
-    homes.into_iter().cloned().collect()
+    lenders.into_iter().cloned().collect()
 }
--- a/crates/admit/src/quota/exchange.rs
+++ b/crates/admit/src/quota/exchange.rs
@@ -1,4 +1,4 @@
-//! An entry's part in the exchange of caps.
+//! An entry's role in the exchange of quota.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::Instant;
@@ -11,7 +11,7 @@
 use crate::quota::plan::{Cap, Plan};
 use crate::quota::{Ask, Grant, Key, Message, Options, Unit};
 
-/// An entry's part in the exchange of caps.
+/// An entry's role in the exchange of quota: a lender of its allotments and a borrower.
 #[derive(Debug)]
 pub struct Exchange {
     me: Process,
@@ -19,11 +19,11 @@
     plan: Plan,
     lender: Lender,
     borrower: Borrower,
-    seen: Instant,
+    last_call: Instant,
 }
 
 impl Exchange {
-    /// Creates the part of the entry `me` in this life.
+    /// Creates the exchange of the entry `me` in this incarnation.
     #[must_use]
     pub fn new(me: Process, incarnation: Incarnation, options: Options, now: Instant) -> Self {
         Self {
@@ -32,35 +32,35 @@
             plan: Plan::default(),
             lender: Lender::default(),
             borrower: Borrower::new(incarnation),
-            seen: now,
+            last_call: now,
         }
     }
 
-    /// Takes the caps and the roster of entries of a newer revision. An entry
+    /// Applies the caps and the roster of entries of a newer revision. An entry
     /// that skips a revision lends nothing until the newer one is confirmed.
     pub fn set_caps(&mut self, revision: Revision, entries: &[Process], caps: Table<Key, Cap>) {
         self.plan
-            .set(&self.me, revision, entries, caps, &self.options);
+            .add(&self.me, revision, entries, caps, &self.options);
     }
 
-    /// Notes that all entries on the roster have taken `revision` or a newer
-    /// one, and that former entries which are no longer on it have stopped or
-    /// been paused for longer than a lease. Call it again now and then; the
-    /// first call counts, until a pause of this process voids it. It must not
-    /// rest on knowledge from before such a pause.
+    /// Confirms that all entries on the roster have applied `revision` or a newer
+    /// one, and that removed entries have stopped or been paused for longer than
+    /// a lease. Only the first call for a revision has an effect, but a pause of
+    /// this process voids it, so call this periodically. The confirmation must
+    /// not be based on data from before such a pause.
     pub fn confirm(&mut self, revision: Revision, now: Instant) {
-        self.wake(now);
+        self.detect_pause(now);
         self.plan.confirm(revision, self.options.hold, now);
     }
 
-    /// Sets how much of a cap is in use here and how much there is use for.
+    /// Sets how much of a cap this entry uses and how much it wants.
     pub fn set_demand(&mut self, key: &Key, used: u32, wanted: u32, now: Instant) {
         if self.plan.cap(key).is_some() {
             self.borrower.set_demand(key, used, wanted, now);
         }
     }
 
-    /// Returns what an organisation may use here at `now`.
+    /// Returns what an organisation may use at this entry at `now`.
     #[must_use]
     pub fn allowance(&self, organisation: &Organisation, now: Instant) -> Allowance {
         let room = |unit| {
@@ -75,45 +75,45 @@
         }
     }
 
-    /// Returns the entries that lend a cap. Callers of its organisation that
-    /// are sent to them cause the fewest messages.
+    /// Returns the entries that lend a cap. Sending the organisation's callers to
+    /// them causes the fewest messages.
     #[must_use]
     pub fn lenders(&self, key: &Key) -> Vec<&Process> {
-        self.plan.homes(key, &self.options)
+        self.plan.lenders(key, &self.options)
     }
 
-    /// Returns what this entry holds of a cap at `now`.
+    /// Returns the quota of a cap that this entry holds at `now`.
     #[must_use]
     pub fn held(&self, key: &Key, now: Instant) -> u32 {
         self.borrower.held(key, now)
     }
 
-    /// Returns the messages that are due. Call it every 50 ms or so.
+    /// Returns the messages that are due. Call it about every 50 ms.
     pub fn tick(&mut self, now: Instant) -> Vec<(Process, Message)> {
-        self.wake(now);
+        self.detect_pause(now);
         self.plan.prune(now);
         self.lender.tick(&self.options, now);
         let asks = self.borrower.tick(&self.me, &self.plan, &self.options, now);
         self.send(asks, now)
     }
 
-    /// Asks at once for a cap of which more is wanted than is held.
+    /// Asks for quota of a cap at once if the demand exceeds the held quota.
     pub fn ask(&mut self, key: &Key, now: Instant) -> Vec<(Process, Message)> {
-        self.wake(now);
+        self.detect_pause(now);
         let ask = self
             .borrower
             .ask(&self.me, key, &self.plan, &self.options, now);
         self.send(ask.into_iter().collect(), now)
     }
 
-    /// Takes a message from another entry and returns the answers.
+    /// Handles a message from another entry and returns the answers.
     pub fn receive(
         &mut self,
         from: &Process,
         message: &Message,
         now: Instant,
     ) -> Vec<(Process, Message)> {
-        self.wake(now);
+        self.detect_pause(now);
         match message {
             Message::Ask { incarnation, asks } => {
                 let borrower = (from.clone(), *incarnation);
@@ -122,12 +122,12 @@
             Message::Grant {
                 incarnation,
                 grants,
-            } if *incarnation == self.borrower.incarnation => self.take(from, grants, now),
+            } if *incarnation == self.borrower.incarnation => self.apply_grants(from, grants, now),
             Message::Grant { .. } => Vec::new(),
         }
     }
 
-    /// Answers a borrower's asks.
+    /// Handles a borrower's asks and returns the answer.
     fn lend(
         &mut self,
         borrower: &(Process, Incarnation),
@@ -135,36 +135,41 @@
         now: Instant,
     ) -> Vec<(Process, Message)> {
         let (plan, options) = (&self.plan, &self.options);
-        let grants = self.lender.ask(borrower, asks, plan, options, now);
+        let grants = self.lender.handle_asks(borrower, asks, plan, options, now);
         if grants.is_empty() {
             return Vec::new();
         }
-        let (home, incarnation) = borrower.clone();
+        let (to, incarnation) = borrower.clone();
         let answer = Message::Grant {
             incarnation,
             grants,
         };
-        vec![(home, answer)]
+        vec![(to, answer)]
     }
 
-    /// Takes a home's grants and asks another home for what they lack.
-    fn take(&mut self, home: &Process, grants: &[Grant], now: Instant) -> Vec<(Process, Message)> {
+    /// Applies a lender's grants and asks another lender for the shortfall.
+    fn apply_grants(
+        &mut self,
+        lender: &Process,
+        grants: &[Grant],
+        now: Instant,
+    ) -> Vec<(Process, Message)> {
         let mut asks = Vec::new();
         for grant in grants {
             let (plan, options) = (&self.plan, &self.options);
-            if let Some(key) = self.borrower.grant(home, grant, options, now) {
+            if let Some(key) = self.borrower.apply_grant(lender, grant, options, now) {
                 asks.extend(self.borrower.ask(&self.me, &key, plan, options, now));
             }
         }
         self.send(asks, now)
     }
 
-    /// Gathers asks into one message for each home; those at this entry
-    /// itself are answered on the spot.
+    /// Batches asks into one message per lender. Asks to this entry itself are
+    /// handled at once.
     fn send(&mut self, asks: Vec<(Process, Ask)>, now: Instant) -> Vec<(Process, Message)> {
         let mut batches: Table<Process, Vec<Ask>> = Table::new();
-        for (home, ask) in asks {
-            batches.get_or_insert_with(home, Vec::new).push(ask);
+        for (lender, ask) in asks {
+            batches.get_or_insert_with(lender, Vec::new).push(ask);
         }
         let incarnation = self.borrower.incarnation;
         let ask = |asks| Message::Ask { incarnation, asks };
@@ -176,16 +181,17 @@
             }
         }
         let batches = batches.iter();
-        messages.extend(batches.map(|(home, asks)| (home.clone(), ask(asks.clone()))));
+        messages.extend(batches.map(|(lender, asks)| (lender.clone(), ask(asks.clone()))));
         messages
     }
 
-    /// Treats a long gap between calls like a restart: this process was
-    /// paused and cannot know what happened to its part meanwhile.
-    fn wake(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.seen) >= self.options.lease {
+    /// Drops all confirmations after a gap between calls of at least a lease. The
+    /// process was paused then, and other entries may have been assigned its
+    /// allotments meanwhile.
+    fn detect_pause(&mut self, now: Instant) {
+        if now.saturating_duration_since(self.last_call) >= self.options.lease {
             self.plan.unconfirm();
         }
-        self.seen = now;
+        self.last_call = now;
     }
 }
--- a/crates/admit/src/quota/homes.rs
+++ b/crates/admit/src/quota/lenders.rs
@@ -1,15 +1,15 @@
-//! The homes of a cap.
+//! The assignment of lenders to a cap.
 
 use cactusnotch_base::name::Process;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 use crate::quota::{Key, Options};
 
-/// Returns the homes of a cap by rendezvous hashing, the first one first.
+/// Returns the lenders of a cap in the order of their rendezvous weights.
 ///
-/// A cap has homes in proportion to its size, and never more than it has
-/// parts. Both units of an organisation prefer the same entries.
-pub(crate) fn homes<'a>(
+/// The number of lenders is proportional to the cap and never exceeds it. Both
+/// units of an organisation prefer the same entries.
+pub(crate) fn lenders<'a>(
     key: &Key,
     cap: u32,
     entries: &'a [Process],
@@ -28,8 +28,8 @@
     ranked.into_iter().map(|(_, entry)| entry).collect()
 }
 
-/// Returns the part of a cap that the home at `rank` of `count` lends.
-pub(crate) fn part(cap: u32, rank: usize, count: usize) -> u32 {
+/// Returns the part of a cap that the lender at `rank` of `count` lends.
+pub(crate) fn allotment(cap: u32, rank: usize, count: usize) -> u32 {
     let (Ok(rank), Ok(count)) = (u32::try_from(rank), u32::try_from(count)) else {
         return 0;
     };
--- a/crates/admit/src/quota/message.rs
+++ b/crates/admit/src/quota/message.rs
@@ -1,29 +1,29 @@
-//! What entries say to each other about caps.
+//! The messages of the exchange of quota.
 
 use cactusnotch_base::number::{Incarnation, Sequence};
 use cactusnotch_derive::message;
 
 use crate::quota::Key;
 
-/// What entries say to each other about caps.
+/// A message of the exchange of quota.
 ///
-/// The field names are short on the wire, since these messages are many.
+/// The field names are short on the wire, since these messages are frequent.
 #[message]
 pub enum Message {
-    /// From a borrower to a home.
+    /// From a borrower to a lender.
     #[serde(rename = "a")]
     Ask {
-        /// The life of the borrower.
+        /// The incarnation of the borrower.
         #[serde(rename = "i")]
         incarnation: Incarnation,
-        /// What it holds and wants.
+        /// What the borrower holds and wants, by cap.
         #[serde(rename = "a")]
         asks: Vec<Ask>,
     },
-    /// From a home to a borrower.
+    /// From a lender to a borrower.
     #[serde(rename = "g")]
     Grant {
-        /// The life of the borrower in its ask.
+        /// The incarnation of the borrower, copied from its ask.
         #[serde(rename = "i")]
         incarnation: Incarnation,
         /// The answers.
@@ -32,35 +32,35 @@
     },
 }
 
-/// A borrower's statement of what it holds of a home and what it wants.
+/// A borrower's request to a lender for quota of one cap.
 #[message]
 pub struct Ask {
     /// The cap.
     #[serde(rename = "k")]
     pub key: Key,
-    /// The number of the ask; a later one supersedes it.
+    /// The number of the ask; a higher number supersedes it.
     #[serde(rename = "n")]
     pub number: Sequence,
-    /// The most that the borrower goes on using without a further grant. It
-    /// has dropped the rest.
+    /// The maximum that the borrower keeps using without a further grant. It
+    /// has dropped the remainder.
     #[serde(rename = "h")]
     pub holds: u32,
-    /// How much it has use for. Nothing is answered to an ask for nothing.
+    /// The amount that the borrower wants. An ask for zero gets no answer.
     #[serde(rename = "w")]
     pub wants: u32,
 }
 
-/// A home's answer to an [`Ask`].
+/// A lender's answer to an [`Ask`].
 #[message]
 pub struct Grant {
-    /// The number of the ask, which names the cap.
+    /// The number of the ask, which identifies the cap.
     #[serde(rename = "n")]
     pub number: Sequence,
-    /// What the borrower may use, for the lease from when it asked.
+    /// The amount that the borrower may use until one lease after it sent the ask.
     #[serde(rename = "a")]
     pub amount: u32,
-    /// To what the borrower should shrink as its work ends, since others
-    /// want their part.
+    /// The amount to which the borrower should shrink as its requests end, since
+    /// other borrowers want a part.
     #[serde(rename = "t")]
     pub target: u32,
 }
--- a/crates/admit/src/quota/options.rs
+++ b/crates/admit/src/quota/options.rs
@@ -1,26 +1,26 @@
-//! Configuration of the exchange of caps.
+//! Configuration of the exchange of quota.
 
 use std::time::Duration;
 
 /// Configuration of an [`crate::quota::Exchange`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// How much of a cap one home lends, about; a larger cap has more homes.
+    /// The approximate amount of a cap that one lender lends; a larger cap has more lenders.
     pub lender_size: u32,
-    /// The fewest homes of a cap, so that one of them can fail.
+    /// The minimum number of lenders of a cap, to tolerate the failure of one.
     pub lenders_min: u32,
-    /// How long a borrower may use a loan, from when it asked.
+    /// How long a borrower may use lent quota, counted from when it sent the ask.
     pub lease: Duration,
-    /// How long a home counts a loan, from when it granted it. It has to
-    /// exceed `lease` by more than clocks drift in that time.
+    /// How long a lender counts lent quota, from when it granted it. It must
+    /// exceed `lease` by more than the clock drift in that time.
     pub hold: Duration,
-    /// How long a borrower keeps what it has no use for.
+    /// How long a borrower keeps quota without demand.
     pub retention: Duration,
-    /// How many homes are asked for more of a cap within `retention`.
+    /// How many lenders are asked for more of a cap within `retention`.
     pub attempts: u32,
-    /// The most asks that an entry sends in one tick.
+    /// The maximum number of asks that an entry sends per tick.
     pub asks: usize,
-    /// How long an unanswered ask waits before another home is asked.
+    /// How long an ask may remain unanswered before another lender is asked.
     pub answer_timeout: Duration,
 }
 
--- a/crates/admit/src/quota/plan.rs
+++ b/crates/admit/src/quota/plan.rs
@@ -1,4 +1,4 @@
-//! How the caps are divided among homes, by revision.
+//! The division of the caps among lenders, by revision.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use cactusnotch_base::name::Process;
 use cactusnotch_base::number::Revision;
 
-use crate::quota::homes::{homes, part};
+use crate::quota::lenders::{allotment, lenders};
 use crate::quota::{Key, Options};
 
 /// A cap over all entries.
@@ -15,9 +15,9 @@
 
 /// The division of the caps under the revisions that may be in use.
 ///
-/// A part that shrinks does so at once; one that grows waits until all
-/// entries are known to have taken the revision and their loans under the
-/// former one have ended.
+/// An allotment shrinks at once, but grows only after all entries are confirmed
+/// to have applied the revision and the quota lent under the previous one has
+/// expired.
 #[derive(Debug, Default)]
 pub(crate) struct Plan {
     /// The revisions, oldest first.
@@ -29,15 +29,15 @@
     revision: Revision,
     entries: Vec<Process>,
     caps: Table<Key, Cap>,
-    /// The parts that this entry lends.
-    parts: Table<Key, u32>,
-    /// From when the parts of this revision may be used.
-    usable: Option<Instant>,
+    /// The allotments that this entry lends.
+    allotments: Table<Key, u32>,
+    /// From when the allotments of this revision may be used.
+    usable_from: Option<Instant>,
 }
 
 impl Plan {
     /// Adds a newer revision.
-    pub(crate) fn set(
+    pub(crate) fn add(
         &mut self,
         me: &Process,
         revision: Revision,
@@ -51,39 +51,39 @@
         self.versions.push(Version {
             revision,
             entries: entries.to_vec(),
-            parts: parts(me, entries, &caps, options),
+            allotments: allotments(me, entries, &caps, options),
             caps,
-            usable: None,
+            usable_from: None,
         });
     }
 
-    /// Notes that all entries have taken `revision` or a newer one.
+    /// Confirms that all entries have applied `revision` or a newer one.
     pub(crate) fn confirm(&mut self, revision: Revision, hold: Duration, now: Instant) {
         for version in &mut self.versions {
             if version.revision <= revision {
-                version.usable.get_or_insert(now + hold);
+                version.usable_from.get_or_insert(now + hold);
             }
         }
     }
 
-    /// Forgets all confirmations, as a fresh process would not have them.
+    /// Drops all confirmations, as after a restart.
     pub(crate) fn unconfirm(&mut self) {
         for version in &mut self.versions {
-            version.usable = None;
+            version.usable_from = None;
         }
     }
 
-    /// Drops the revisions that are older than the newest usable one.
+    /// Drops the revisions older than the newest usable one.
     pub(crate) fn prune(&mut self, now: Instant) {
         if let Some(at) = self.versions.iter().rposition(|v| v.is_usable(now)) {
             self.versions.drain(..at);
         }
     }
 
-    /// Returns the part of a cap that this entry may lend: the least under all
-    /// revisions that others may use, which is nothing if one of them is not
-    /// known here.
-    pub(crate) fn part(&self, key: &Key, now: Instant) -> u32 {
+    /// Returns the allotment of a cap that this entry may lend: the minimum under
+    /// all revisions that other entries may use, or zero if this entry has
+    /// missed one of them.
+    pub(crate) fn allotment(&self, key: &Key, now: Instant) -> u32 {
         let newest = self.versions.iter().rposition(|v| v.is_usable(now));
         let Some(newest) = newest else {
             return 0;
@@ -93,8 +93,8 @@
         if pairs.any(|(a, b)| a.revision.next() != b.revision) {
             return 0;
         }
-        let part = |version: &Version| version.parts.get(key).copied().unwrap_or(0);
-        versions.iter().map(part).min().unwrap_or(0)
+        let allotment = |version: &Version| version.allotments.get(key).copied().unwrap_or(0);
+        versions.iter().map(allotment).min().unwrap_or(0)
     }
 
     /// Returns the cap under the newest revision.
@@ -107,33 +107,33 @@
         self.versions.last().map(|version| version.revision)
     }
 
-    /// Returns the homes of a cap under the newest revision.
-    pub(crate) fn homes(&self, key: &Key, options: &Options) -> Vec<&Process> {
+    /// Returns the lenders of a cap under the newest revision.
+    pub(crate) fn lenders(&self, key: &Key, options: &Options) -> Vec<&Process> {
         let Some(newest) = self.versions.last() else {
             return Vec::new();
         };
         let cap = newest.caps.get(key).copied().unwrap_or(0);
-        homes(key, cap, &newest.entries, options)
+        lenders(key, cap, &newest.entries, options)
     }
 }
 
 impl Version {
     fn is_usable(&self, now: Instant) -> bool {
-        self.usable.is_some_and(|at| at <= now)
+        self.usable_from.is_some_and(|at| at <= now)
     }
 }
 
-/// Returns the parts of the caps that `me` lends.
-fn parts(
+/// Returns the allotments of the caps that `me` lends.
+fn allotments(
     me: &Process,
     entries: &[Process],
     caps: &Table<Key, Cap>,
     options: &Options,
 ) -> Table<Key, u32> {
     let own = |(key, &cap): (&Key, &Cap)| {
-        let homes = homes(key, cap, entries, options);
-        let rank = homes.iter().position(|home| *home == me)?;
-        Some((key.clone(), part(cap, rank, homes.len())))
+        let lenders = lenders(key, cap, entries, options);
+        let rank = lenders.iter().position(|lender| *lender == me)?;
+        Some((key.clone(), allotment(cap, rank, lenders.len())))
     };
     caps.iter().filter_map(own).collect()
 }
--- a/crates/admit/src/quota/unit.rs
+++ b/crates/admit/src/quota/unit.rs
@@ -1,15 +1,15 @@
-//! What a cap limits.
+//! The quantities that a cap limits.
 
 use cactusnotch_base::name::Organisation;
 use cactusnotch_derive::{identifier, number};
 use derive_more::Display;
 
-/// What a cap limits.
+/// The quantity that a cap limits.
 #[number]
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Unit {
-    /// Requests that run at once.
+    /// Requests that run concurrently.
     #[default]
     #[display("concurrency")]
     Concurrency,
@@ -18,13 +18,13 @@
     Rate,
 }
 
-/// The name of a cap.
+/// The key of a cap.
 #[identifier]
 #[derive(Display)]
 #[display("{organisation}/{unit}")]
 pub struct Key {
     /// The organisation whose use is limited.
     pub organisation: Organisation,
-    /// What is limited.
+    /// The limited quantity.
     pub unit: Unit,
 }
--- a/crates/admit/src/refusal.rs
+++ b/crates/admit/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Why a request was not let in.
+//! The refusal of a request.
 
 use std::time::Duration;
 
@@ -6,19 +6,19 @@
 use cactusnotch_derive::record;
 use derive_more::{Display, Error};
 
-/// Why a request was not let in. It has not left the entry.
+/// The refusal of a request, which has not left the entry.
 #[record]
 #[derive(Copy, Display, Error)]
 #[display("{reason}; retry after {retry_after:?}")]
 pub struct Refusal {
-    /// Why.
+    /// The reason.
     pub reason: Reason,
-    /// After which time another try has prospects, with jitter.
+    /// The time after which a retry may succeed, with jitter.
     pub retry_after: Duration,
 }
 
 impl Refusal {
-    /// Returns what is known of the request: it did not run and never will.
+    /// Returns the outcome of the request: it has not run and never will.
     #[must_use]
     pub const fn outcome(&self) -> Outcome {
         Outcome::NotRun
@@ -28,19 +28,19 @@
 /// The reason of a [`Refusal`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Reason {
-    /// The answer would be complete only after the deadline.
+    /// The response would be complete only after the deadline.
     #[display("the answer would come {late:?} after the deadline")]
     Late {
-        /// How long after the deadline.
+        /// By how much the deadline would be missed.
         late: Duration,
     },
-    /// Too many requests of the organisation and this priority wait.
+    /// Too many requests of the organisation and priority are waiting.
     #[display("too many requests of this priority wait")]
     QueueFull,
-    /// The queue is full and the organisation holds more than its share of it.
+    /// The queue is full and the organisation occupies more than its share of it.
     #[display("the queue is full and the organisation is over its share")]
     OverShare,
-    /// The entry is about to stop.
+    /// The entry is shutting down.
     #[display("the entry is stopping")]
     Stopping,
 }
--- a/crates/admit/src/request.rs
+++ b/crates/admit/src/request.rs
@@ -1,4 +1,4 @@
-//! The admission decision's view of a request.
+//! The properties of a request that admission depends on.
 
 use std::time::Duration;
 
@@ -7,19 +7,19 @@
 
 use crate::Priority;
 
-/// The admission decision's view of a request.
+/// The properties of a request that admission depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct Request<'a> {
     /// The organisation that sent it.
     pub organisation: &'a Organisation,
-    /// The organisation's share against the others, at least one.
+    /// The weight of the organisation relative to others, at least one.
     pub share: u32,
-    /// The rank within the organisation.
+    /// The priority within the organisation.
     pub priority: Priority,
-    /// The work it takes, in units of the usual request.
+    /// The expected work relative to an average request.
     pub cost: f64,
-    /// When the answer has to be complete.
+    /// When the response must be complete.
     pub deadline: Instant,
-    /// How long it should take once it runs.
+    /// The expected run time.
     pub run: Duration,
 }
--- a/crates/admit/src/ticket.rs
+++ b/crates/admit/src/ticket.rs
@@ -1,9 +1,9 @@
-//! The number of a queued request.
+//! The identifier of a queued request.
 
 use cactusnotch_derive::number;
 use derive_more::Display;
 
-/// The number of a request that a [`crate::Gate`] has taken in.
+/// The identifier of a request in the queue of a [`crate::Gate`].
 #[number]
 #[derive(Display)]
 #[serde(transparent)]
--- a/crates/admit/src/usage.rs
+++ b/crates/admit/src/usage.rs
@@ -1,4 +1,4 @@
-//! What runs for each organisation at this entry.
+//! The running requests of each organisation at this entry.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::Instant;
@@ -6,7 +6,7 @@
 
 use crate::Allowance;
 
-/// What runs for each organisation at this entry, over all services.
+/// The running requests of each organisation at this entry, over all services.
 #[derive(Debug, Default)]
 pub struct Usage {
     rows: Table<Organisation, Row>,
@@ -15,10 +15,10 @@
 #[derive(Debug)]
 struct Row {
     running: u32,
-    /// The starts that the rate allows now, up to a second's worth.
-    starts: f64,
-    at: Instant,
-    /// The starts of about the last second, each of which fades with time.
+    /// The token bucket of the rate limit, which holds at most one second's starts.
+    tokens: f64,
+    refilled_at: Instant,
+    /// The number of starts within about the last second, exponentially decayed.
     recent: f64,
     started: Instant,
 }
@@ -29,18 +29,20 @@
         self.recent * (-time.as_secs_f64()).exp()
     }
 
-    /// Adds the starts that `rate` has allowed since the last call.
+    /// Adds the tokens for the time since the last call.
     fn refill(&mut self, rate: u32, now: Instant) {
-        let time = now.saturating_duration_since(self.at).as_secs_f64();
+        let time = now
+            .saturating_duration_since(self.refilled_at)
+            .as_secs_f64();
         let rate = f64::from(rate);
-        self.starts = (self.starts + time * rate).min(rate.max(1.0));
-        self.at = now;
+        self.tokens = (self.tokens + time * rate).min(rate.max(1.0));
+        self.refilled_at = now;
     }
 }
 
 impl Usage {
-    /// Counts a request as started if the organisation's allowance has room;
-    /// returns whether it has.
+    /// Counts a request as started if the organisation's allowance permits it;
+    /// returns whether it does.
     pub fn try_start(
         &mut self,
         organisation: &Organisation,
@@ -49,8 +51,8 @@
     ) -> bool {
         let make = || Row {
             running: 0,
-            starts: 1.0,
-            at: now,
+            tokens: 1.0,
+            refilled_at: now,
             recent: 0.0,
             started: now,
         };
@@ -63,10 +65,10 @@
         }
         if let Some(rate) = allowance.rate {
             row.refill(rate, now);
-            if row.starts < 1.0 {
+            if row.tokens < 1.0 {
                 return false;
             }
-            row.starts -= 1.0;
+            row.tokens -= 1.0;
         }
         row.running += 1;
         row.recent = row.recent(now) + 1.0;
@@ -81,15 +83,15 @@
         }
     }
 
-    /// Returns the requests of an organisation that run.
+    /// Returns the number of running requests of an organisation.
     #[must_use]
     pub fn running(&self, organisation: &Organisation) -> u32 {
         self.rows.get(organisation).map_or(0, |row| row.running)
     }
 
-    /// Returns the requests of an organisation that start within a second, at
-    /// the pace of the last ones: what there is use for of a
-    /// [`crate::quota::Unit::Rate`] cap, besides what waits.
+    /// Returns the recent rate of an organisation's starts in requests per
+    /// second. Together with the waiting requests it is the demand for a
+    /// [`crate::quota::Unit::Rate`] cap.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -101,8 +103,8 @@
         self.rows.get(organisation).map_or(0.0, recent).ceil() as u32
     }
 
-    /// Forgets organisations of which nothing runs and nothing has started
-    /// for a while.
+    /// Removes organisations without running requests whose last start was more
+    /// than ten seconds ago.
     pub fn tick(&mut self, now: Instant) {
         let idle = |row: &Row| now.saturating_duration_since(row.started).as_secs() > 10;
         self.rows.retain(|_, row| row.running > 0 || !idle(row));
--- a/crates/admit/tests/gate.rs
+++ b/crates/admit/tests/gate.rs
@@ -1,4 +1,4 @@
-//! Fair queueing and early refusal through the public API.
+//! Tests of fair queueing and early refusal through the public API.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 
-/// A gate with its clock and its random source.
+/// A gate with a clock and a random source.
 struct Bench {
     gate: Gate,
     now: Instant,
@@ -30,7 +30,7 @@
         }
     }
 
-    fn arrive(
+    fn enqueue(
         &mut self,
         organisation: &Organisation,
         share: u32,
@@ -49,13 +49,17 @@
         self.gate.enqueue(&request, 0, commands, self.now, rng)
     }
 
-    fn poll(&mut self, room: u32) -> Vec<Command> {
-        self.poll_with(room, |_| true)
+    fn poll(&mut self, free_slots: u32) -> Vec<Command> {
+        self.poll_with(free_slots, |_| true)
     }
 
-    fn poll_with(&mut self, room: u32, may: impl FnMut(&Organisation) -> bool) -> Vec<Command> {
+    fn poll_with(
+        &mut self,
+        free_slots: u32,
+        may: impl FnMut(&Organisation) -> bool,
+    ) -> Vec<Command> {
         let (commands, rng) = (&mut self.commands, &mut self.rng);
-        self.gate.poll(room, commands, self.now, rng, may);
+        self.gate.poll(free_slots, commands, self.now, rng, may);
         std::mem::take(commands)
     }
 }
@@ -69,13 +73,13 @@
     for _ in 0..40 {
         let left = MINUTE;
         bench
-            .arrive(&a, 1, Priority::Normal, left)
-            .expect("there is time");
+            .enqueue(&a, 1, Priority::Normal, left)
+            .expect("the deadline allows it");
     }
     let second = Duration::from_secs(1);
     let refusal = bench
-        .arrive(&a, 1, Priority::Normal, second)
-        .expect_err("40 wait, 20 start a second");
+        .enqueue(&a, 1, Priority::Normal, second)
+        .expect_err("40 are waiting at 20 starts per second");
     assert!(
         matches!(refusal.reason, Reason::Late { late } if late > second),
         "{refusal}"
@@ -85,7 +89,7 @@
         (second..second * 4).contains(&refusal.retry_after),
         "{refusal}"
     );
-    assert!(bench.arrive(&a, 1, Priority::Normal, second * 3).is_ok());
+    assert!(bench.enqueue(&a, 1, Priority::Normal, second * 3).is_ok());
 }
 
 #[test]
@@ -96,18 +100,18 @@
     let tickets: Vec<Ticket> = (0..60)
         .map(|_| {
             bench
-                .arrive(&a, 1, Priority::Normal, left)
-                .expect("there is time")
+                .enqueue(&a, 1, Priority::Normal, left)
+                .expect("the deadline allows it")
         })
         .collect();
     let most = bench.now + left * 3 / 4;
     let mut refused = Vec::new();
     while refused.len() < tickets.len() {
         bench.now += Duration::from_millis(100);
-        assert!(bench.now < most, "held up: {} refused", refused.len());
+        assert!(bench.now < most, "too late: only {} refused", refused.len());
         for command in bench.poll(0) {
             let Command::Refuse(ticket, refusal) = command else {
-                panic!("there was no room");
+                panic!("there was no free slot");
             };
             assert_eq!(refusal.outcome(), Outcome::NotRun);
             refused.push(ticket);
@@ -118,14 +122,14 @@
     assert!(bench.gate.is_empty() && bench.poll(99).is_empty());
 }
 
-/// Counts the starts of each organisation over `rounds` with one slot, while
-/// each keeps its lane filled.
+/// Counts the starts of each flow over `rounds` with one slot per round, while
+/// every flow keeps its lane full.
 fn starts(bench: &mut Bench, flows: &[(Organisation, u32, Priority)], rounds: usize) -> Vec<usize> {
     let mut owners: Vec<(Ticket, usize)> = Vec::new();
     let mut counts = vec![0; flows.len()];
     for _ in 0..rounds {
         for (at, (organisation, share, priority)) in flows.iter().enumerate() {
-            while let Ok(ticket) = bench.arrive(organisation, *share, *priority, MINUTE * 30) {
+            while let Ok(ticket) = bench.enqueue(organisation, *share, *priority, MINUTE * 30) {
                 owners.push((ticket, at));
             }
         }
@@ -151,14 +155,14 @@
     let counts = starts(&mut Bench::new(options()), &flows, 400);
     assert!(
         (295..=305).contains(&counts[0]),
-        "3 : 1 whatever the priority: {counts:?}"
+        "3 : 1 regardless of priority: {counts:?}"
     );
     assert_eq!(counts[0] + counts[1], 400);
     let ranks = [(a.clone(), 1, Priority::High), (a, 1, Priority::Low)];
     let counts = starts(&mut Bench::new(options()), &ranks, 340);
     assert!(
         (18..=22).contains(&counts[1]),
-        "16 : 1 within one: {counts:?}"
+        "16 : 1 within one organisation: {counts:?}"
     );
 }
 
@@ -172,17 +176,17 @@
     let own: Vec<Ticket> = (0..10)
         .map(|_| {
             bench
-                .arrive(&a, 1, Priority::High, MINUTE)
-                .expect("there is a place")
+                .enqueue(&a, 1, Priority::High, MINUTE)
+                .expect("the queue has space")
         })
         .collect();
     let refusal = bench
-        .arrive(&a, 1, Priority::High, MINUTE)
-        .expect_err("full");
+        .enqueue(&a, 1, Priority::High, MINUTE)
+        .expect_err("the queue is full");
     assert_eq!(refusal.reason, Reason::OverShare);
     bench
-        .arrive(&b, 1, Priority::Low, MINUTE)
-        .expect("a yields");
+        .enqueue(&b, 1, Priority::Low, MINUTE)
+        .expect("a request of a is evicted");
     let [Command::Refuse(ticket, refusal)] = bench.commands[..] else {
         panic!("{:?}", bench.commands);
     };
@@ -191,7 +195,7 @@
     assert!(bench.gate.cancel(&a, own[0]) && !bench.gate.cancel(&a, own[0]));
     bench.gate.stop();
     let refusal = bench
-        .arrive(&b, 1, Priority::Low, MINUTE)
+        .enqueue(&b, 1, Priority::Low, MINUTE)
         .expect_err("stopping");
     assert_eq!(refusal.reason, Reason::Stopping);
 }
@@ -202,8 +206,8 @@
     let (a, b) = (Organisation::new("a"), Organisation::new("b"));
     for organisation in [&a, &a, &a, &b, &b, &b] {
         bench
-            .arrive(organisation, 1, Priority::Normal, MINUTE)
-            .expect("there is time");
+            .enqueue(organisation, 1, Priority::Normal, MINUTE)
+            .expect("the deadline allows it");
     }
     let mut usage = Usage::default();
     let start = bench.now;
@@ -212,11 +216,11 @@
         rate: None,
     };
     let started = bench.poll_with(9, |name| usage.try_start(name, two, start));
-    assert_eq!(started.len(), 4, "b starts although a is held back");
+    assert_eq!(started.len(), 4, "b starts although a is at its limit");
     assert_eq!((usage.running(&a), usage.running(&b)), (2, 2));
     usage.finish(&b);
     let started = bench.poll_with(9, |name| usage.try_start(name, two, start));
-    assert_eq!(started.len(), 1, "a, whose turn it is, is passed over");
+    assert_eq!(started.len(), 1, "a, which is next, is skipped");
     let five = Allowance {
         concurrency: None,
         rate: Some(5),
@@ -224,7 +228,7 @@
     let later = start + Duration::from_secs(2);
     usage.try_start(&b, five, start);
     let starts = (0..20).filter(|_| usage.try_start(&b, five, later)).count();
-    assert_eq!(starts, 5, "a burst is a second's worth");
+    assert_eq!(starts, 5, "a burst is limited to one second's starts");
     assert_eq!(usage.rate(&b, later), 6);
-    assert_eq!(usage.rate(&b, later + MINUTE), 1, "old starts fade");
+    assert_eq!(usage.rate(&b, later + MINUTE), 1, "old starts decay");
 }
