--- a/crates/throttle/src/allotment.rs
+++ b/crates/throttle/src/allotment.rs
@@ -1,10 +1,11 @@
-//! The part of an endpoint's rate limit that one entry may use.
+//! The allotment of an endpoint's rate limit to one entry.
 //!
-//! A limit holds for all entries together. Equal parts for all of them bound the sum only while
-//! they are few: each may send one request at any moment, which adds up to one an entry. So a
-//! limit is divided among the first entries in the endpoint's rendezvous order, as many as an
-//! endpoint in need bears. Entries agree on these without a message, since they know the same
-//! list; one that another lacks for a while adds its own part, which [`SPARE`] allows for.
+//! A rate limit applies to all entries together. Equal allotments for all entries bound the sum
+//! only if there are few entries, since each may send one request at any moment. The limit is
+//! therefore divided among the first entries in the endpoint's rendezvous order, its holders,
+//! whose number depends on the endpoint's [`Tolerance`]. Entries agree on the holders without
+//! messages because they have the same list of entries. While the lists differ, additional
+//! entries may use an allotment, for which [`SPARE_HOLDERS`] leaves a margin.
 
 use std::time::Duration;
 
@@ -13,36 +14,35 @@
 
 use crate::{Rate, Tolerance};
 
-/// The entries beyond the holders that may believe to be holders: lists of entries differ by
-/// few for a while.
-const SPARE: usize = 2;
-/// The least rate at which an endpoint is sent requests. Only its answers tell that a limit
-/// is over, and what it allows may be none.
-const ASK_RATE: f64 = 0.25;
+/// The number of entries beyond the holders that may also act as holders while the lists of
+/// entries differ.
+const SPARE_HOLDERS: usize = 2;
+/// The minimum rate, in requests per second, at which an endpoint is sent requests. The end of
+/// a limit is only visible in the endpoint's responses, and a limit may be zero.
+const PROBE_RATE: f64 = 0.25;
 
-/// The part of an endpoint's rate limit that one entry may use.
+/// The allotment of an endpoint's rate limit to one entry.
 #[record]
 #[derive(Copy)]
 pub struct Allotment {
-    /// Whether it is one of the entries that share the limit. Another one may only ask whether
-    /// the limit is over, once nobody has told it for long.
+    /// Whether the entry is one of the holders, which share the limit. An entry that is not may
+    /// only probe whether the limit has ended, after a long time without a report.
     pub is_holder: bool,
-    /// The least time between two requests.
+    /// The minimum time between two requests.
     pub interval: Duration,
-    /// The entry's place in the order in which entries begin, as a time: their requests are
-    /// evenly spread with it.
+    /// The delay of the entry's first request, which spreads the requests of all entries evenly.
     pub offset: Duration,
 }
 
 impl Allotment {
-    /// Returns the part of `rate` at `endpoint` that the entry `me` of `entries` has, or `None`
-    /// if it is none of them. The endpoint bears what endpoints do that name a limit.
+    /// Returns the allotment of `rate` at `endpoint` to the entry `me`, or `None` if `entries`
+    /// does not contain it. Uses the tolerance of endpoints that announce a limit.
     #[must_use]
     pub fn of<S: AsRef<str>>(me: &str, entries: &[S], endpoint: &str, rate: Rate) -> Option<Self> {
         Self::with_tolerance(Tolerance::LIMITED, me, entries, endpoint, rate)
     }
 
-    /// Returns the same at an endpoint that bears what `tolerance` says.
+    /// Like [`Allotment::of`], with the given tolerance.
     #[must_use]
     pub fn with_tolerance<S: AsRef<str>>(
         tolerance: Tolerance,
@@ -54,7 +54,7 @@
         if !entries.iter().any(|entry| entry.as_ref() == me) {
             return None;
         }
-        let holders = holders(tolerance, entries.len(), rate);
+        let holders = holder_count(tolerance, entries.len(), rate);
         let rank = rendezvous::rank(me, entries, endpoint);
         let is_holder = rank < holders;
         let spacing = spacing(rate);
@@ -66,32 +66,32 @@
     }
 }
 
-/// Returns the time between two requests of all entries together.
+/// Returns the mean time between two requests of all entries together.
 #[must_use]
 pub fn spacing(rate: Rate) -> Duration {
-    Duration::from_secs_f64(asked(rate).recip())
+    Duration::from_secs_f64(effective_rate(rate).recip())
 }
 
-/// Returns the rate at which requests are sent.
-const fn asked(rate: Rate) -> f64 {
-    rate.per_second().max(ASK_RATE)
+/// Returns the rate in requests per second at which requests are sent.
+const fn effective_rate(rate: Rate) -> f64 {
+    rate.per_second().max(PROBE_RATE)
 }
 
-/// Returns how many of `entries` share the requests that an endpoint takes: as many as stay
-/// within what it bears, with [`SPARE`] more, however their requests coincide.
-fn holders(tolerance: Tolerance, entries: usize, rate: Rate) -> usize {
-    let borne = tolerance.max_requests(rate);
+/// Returns how many of `entries` share a limit: the maximum that stays within the tolerance for
+/// any timing of their requests, including [`SPARE_HOLDERS`] additional entries if possible.
+fn holder_count(tolerance: Tolerance, entries: usize, rate: Rate) -> usize {
+    let tolerated = tolerance.max_requests(rate);
     let fits = |&holders: &usize, spare: usize| {
-        f64::from(number(holders + spare)) * most(tolerance, holders, rate) <= borne
+        f64::from(number(holders + spare)) * max_per_holder(tolerance, holders, rate) <= tolerated
     };
     let with_spare = |spare| (1..=entries).rev().find(|holders| fits(holders, spare));
-    (0..=SPARE).rev().find_map(with_spare).unwrap_or(1)
+    (0..=SPARE_HOLDERS).rev().find_map(with_spare).unwrap_or(1)
 }
 
-/// Returns the most requests that one of `holders` can send within a window.
-fn most(tolerance: Tolerance, holders: usize, rate: Rate) -> f64 {
-    let part = asked(rate) / f64::from(number(holders));
-    (part * tolerance.window.as_secs_f64()).floor() + 1.0
+/// Returns the maximum number of requests that one of `holders` can send within a window.
+fn max_per_holder(tolerance: Tolerance, holders: usize, rate: Rate) -> f64 {
+    let allotment = effective_rate(rate) / f64::from(number(holders));
+    (allotment * tolerance.window.as_secs_f64()).floor() + 1.0
 }
 
 fn number(entries: usize) -> u32 {
--- a/crates/throttle/src/header.rs
+++ b/crates/throttle/src/header.rs
@@ -1,25 +1,25 @@
-//! What an endpoint says of itself in the head of an answer.
+//! The throttling headers of an endpoint's responses.
 
 use std::time::Duration;
 
 use crate::Rate;
 
-/// A value in the head of an answer.
+/// The value of a response header.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum Header<T> {
-    /// The head has none.
+    /// The header is absent.
     #[default]
     Absent,
-    /// The head has this one.
+    /// The header has this value.
     Value(T),
-    /// The head has one that means nothing.
+    /// The header's value cannot be parsed.
     Invalid,
 }
 
 impl<T: Copy> Header<T> {
-    /// Returns what all `values` of a header say together, each `None` if it can't be read. The
-    /// one that is `stricter` than the others counts, and one that can't be read makes all of
-    /// them unreadable.
+    /// Combines all `values` of a repeated header, where `None` is a value that cannot be parsed.
+    /// The strictest value according to `stricter` applies, but a single `None` makes the header
+    /// invalid.
     pub fn strictest(
         values: impl IntoIterator<Item = Option<T>>,
         stricter: impl Fn(T, T) -> bool,
@@ -28,7 +28,7 @@
         for value in values {
             strictest = match (value, strictest) {
                 (None, _) => return Self::Invalid,
-                (Some(value), Self::Value(known)) if !stricter(value, known) => strictest,
+                (Some(value), Self::Value(current)) if !stricter(value, current) => strictest,
                 (Some(value), _) => Self::Value(value),
             };
         }
@@ -36,33 +36,35 @@
     }
 }
 
-/// What an endpoint says of itself in the head of an answer.
+/// The throttling headers of an endpoint's response.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Headers {
-    /// The requests that it takes from all entries together, for as long as it says so.
+    /// The rate limit for all entries together, which applies as long as responses announce it.
     pub limit: Header<Rate>,
-    /// How long it wants no request from this entry, said as it turns one away.
+    /// The back-off requested from this entry by a refusal.
     pub backoff: Header<Duration>,
-    /// Whether it takes no new requests since it is about to leave.
+    /// Whether the endpoint is leaving and accepts no new requests.
     pub leaving: bool,
 }
 
 impl Headers {
-    /// Reads a limit: of several values the lowest counts.
+    /// Parses a rate limit; the lowest of several values applies.
     pub fn read_limit<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Header<Rate> {
         let rate = |text: Option<&str>| Rate::new(number(text?)?);
-        Header::strictest(values.into_iter().map(rate), |rate, known| rate < known)
+        Header::strictest(values.into_iter().map(rate), |rate, current| rate < current)
     }
 
-    /// Reads a rest in seconds, the longest of several. One beyond all times is the longest
-    /// that there is.
+    /// Parses a back-off in seconds; the longest of several values applies. A value beyond the
+    /// range of [`Duration`] saturates.
     pub fn read_backoff<'a>(values: impl IntoIterator<Item = Option<&'a str>>) -> Header<Duration> {
-        let rest = |text: Option<&str>| {
+        let backoff = |text: Option<&str>| {
             let seconds = number(text?)?;
             let is_time = seconds.is_finite() && !seconds.is_sign_negative();
             is_time.then(|| Duration::try_from_secs_f64(seconds).unwrap_or(Duration::MAX))
         };
-        Header::strictest(values.into_iter().map(rest), |rest, known| rest > known)
+        Header::strictest(values.into_iter().map(backoff), |backoff, current| {
+            backoff > current
+        })
     }
 }
 
--- a/crates/throttle/src/lib.rs
+++ b/crates/throttle/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decides how many requests endpoints in need get, by what they say of themselves.
+//! Throttles requests to overloaded endpoints according to their own signals.
 //!
-//! An endpoint says in the heads of its answers how many requests a second it takes from all
-//! senders together ([`Limits`]), that it wants none from one of them for a while ([`Backoffs`]), or
-//! that it leaves; and it registers itself as cold ([`Warmups`]). The crate does no I/O; time is passed in.
+//! In its response headers an endpoint announces a rate limit for all entries together
+//! ([`Limits`]), a back-off for the receiving entry ([`Backoffs`]), or that it is leaving. An
+//! endpoint also registers itself as warming up after a start ([`Warmups`]). The crate does no
+//! I/O; time is passed in.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/throttle/src/limit.rs
+++ b/crates/throttle/src/limit.rs
@@ -1,4 +1,4 @@
-//! The rate limit of one endpoint, as an entry believes it.
+//! An entry's cached state of one endpoint's rate limit.
 
 use std::time::Duration;
 
@@ -8,76 +8,77 @@
 use crate::Allotment;
 use crate::Rate;
 
-/// How long a word on a limit counts without another one. Holders hear the endpoint's answers
-/// and pass them on; an entry that has been told nothing for so long asks the endpoint itself.
+/// How long a report of a limit is valid. Holders receive the endpoint's responses and forward
+/// what these report. An entry without a report for this time probes the endpoint itself.
 pub const REPORT_LIFETIME: Duration = Duration::from_mins(1);
 
-/// The rate limit of one endpoint, as an entry believes it.
+/// An entry's cached state of one endpoint's rate limit.
 #[derive(Debug, Clone)]
 pub struct Limit {
-    /// The requests a second, none once the limit is over.
+    /// The limit, or `None` once it has ended.
     rate: Option<Rate>,
-    /// When the newest word was given: on a limit, when the answer came; on none, when the
-    /// request was sent that was answered without one.
-    at: Instant,
+    /// The time of the newest report. For a limit this is the arrival of the response that
+    /// announced it; for the end of a limit, the sending of the request whose response had none.
+    reported_at: Instant,
     allotment: Option<Allotment>,
-    /// Since when the limit is shared as it is now.
-    since: Instant,
-    /// When the last request was sent since then.
+    /// Since when this entry has been a holder of the limit.
+    held_since: Instant,
+    /// When the last request since then was sent.
     last: Option<Instant>,
 }
 
 impl Limit {
-    /// Creates what the first word says.
-    pub(crate) const fn new(rate: Option<Rate>, at: Instant) -> Self {
+    /// Creates the state from the first report.
+    pub(crate) const fn new(rate: Option<Rate>, reported_at: Instant) -> Self {
         Self {
             rate,
-            at,
+            reported_at,
             allotment: None,
-            since: at,
+            held_since: reported_at,
             last: None,
         }
     }
 
-    /// Returns the requests a second, none if the limit is over.
+    /// Returns the limit, or `None` if it has ended.
     #[must_use]
     pub const fn rate(&self) -> Option<Rate> {
         self.rate
     }
 
-    /// Returns when the newest word was given.
+    /// Returns the time of the newest report.
     #[must_use]
-    pub const fn at(&self) -> Instant {
-        self.at
+    pub const fn reported_at(&self) -> Instant {
+        self.reported_at
     }
 
-    /// Tells whether this entry shares the limit.
+    /// Returns whether this entry is a holder of the limit.
     #[must_use]
     pub fn is_holder(&self) -> bool {
         self.rate.is_some() && self.allotment.is_some_and(|allotment| allotment.is_holder)
     }
 
-    /// Takes a word that is newer than the known one; of two at one moment the one on a limit
-    /// counts.
+    /// Applies a report if it is newer than the current state, or as old and announces a limit.
+    /// Returns whether it was applied.
     pub(crate) fn apply_report(&mut self, rate: Option<Rate>, at: Instant) -> bool {
-        let is_newer = at > self.at || (at == self.at && rate.is_some());
+        let is_newer = at > self.reported_at || (at == self.reported_at && rate.is_some());
         if is_newer {
-            (self.rate, self.at) = (rate, at);
+            (self.rate, self.reported_at) = (rate, at);
         }
         is_newer
     }
 
-    /// Takes this entry's part of the limit from `now` on. One that held a part before goes on
-    /// from its last request, so that a lower limit takes back what a higher one allowed.
+    /// Sets this entry's allotment from `now` on. An entry that was a holder before continues
+    /// from its last request: the longer interval of a lower limit also applies after a request
+    /// that was sent under a higher limit.
     pub(crate) fn set_allotment(&mut self, allotment: Option<Allotment>, now: Instant) {
         let before = std::mem::replace(&mut self.allotment, allotment);
-        let shares = |allotment: Option<Allotment>| allotment.is_some_and(|a| a.is_holder);
-        if shares(allotment) && !shares(before) {
-            (self.since, self.last) = (now, None);
+        let is_holder_of = |allotment: Option<Allotment>| allotment.is_some_and(|a| a.is_holder);
+        if is_holder_of(allotment) && !is_holder_of(before) {
+            (self.held_since, self.last) = (now, None);
         }
     }
 
-    /// Returns until when the endpoint gets no request.
+    /// Returns until when this entry withholds requests from the endpoint.
     #[must_use]
     pub fn withheld(&self) -> Option<Withheld> {
         self.rate?;
@@ -90,9 +91,9 @@
             offset,
         } = allotment;
         let first = if is_holder {
-            self.since + offset
+            self.held_since + offset
         } else {
-            self.at + REPORT_LIFETIME + offset
+            self.reported_at + REPORT_LIFETIME + offset
         };
         Some(Withheld::Until(match self.last {
             Some(last) if is_holder => last + interval,
@@ -101,7 +102,7 @@
         }))
     }
 
-    /// Takes that a request is sent to the endpoint.
+    /// Records that a request is sent to the endpoint.
     pub(crate) const fn record_send(&mut self, now: Instant) {
         self.last = Some(now);
     }
--- a/crates/throttle/src/limits.rs
+++ b/crates/throttle/src/limits.rs
@@ -1,4 +1,4 @@
-//! The endpoints that take fewer requests than usual, as they say themselves.
+//! The rate limits that endpoints announce.
 
 use std::time::Duration;
 
@@ -9,33 +9,33 @@
 use crate::limit::{Limit, REPORT_LIFETIME};
 use crate::{Allotment, Header, Headers, Rate, Tolerance};
 
-/// How long a limit is believed of an endpoint that gets no request.
-const FORGET_TIME: Duration = Duration::from_mins(10);
-/// The most endpoints that are remembered: all of 1,300 may name a limit.
+/// How long the limit of an endpoint is kept without a report.
+const RETENTION: Duration = Duration::from_mins(10);
+/// The maximum number of cached endpoints; all of 1,300 may announce a limit.
 const ROWS_MAX: usize = 2_048;
 
-/// The endpoints that take fewer requests than usual, by their names.
+/// The rate limits that endpoints announce, by endpoint name.
 #[derive(Debug)]
 pub struct Limits {
     host: String,
     tolerance: Tolerance,
-    /// The hosts of all entries, none before they are known.
+    /// The hosts of all entries, empty until they are received.
     entries: Vec<String>,
     rows: Table<String, Limit>,
 }
 
-/// A limit that is believed from now on instead of another.
+/// A change of an endpoint's limit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Change {
-    /// The limit before.
+    /// The previous limit.
     pub before: Option<Rate>,
-    /// The limit now.
+    /// The new limit.
     pub after: Option<Rate>,
 }
 
 impl Change {
-    /// Tells whether other entries need to know of it at once: they would send too much, or
-    /// nothing.
+    /// Returns whether other entries must be notified at once, since they would otherwise send
+    /// too many requests, or none.
     #[must_use]
     pub fn is_urgent(self) -> bool {
         match (self.before, self.after) {
@@ -45,14 +45,14 @@
     }
 }
 
-/// What one entry says to others of an endpoint's limit.
+/// An entry's report of an endpoint's limit to other entries.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
     /// The endpoint.
     pub endpoint: String,
-    /// The limit, if there is one.
+    /// The limit, or `None` if it has ended.
     pub limit: Option<Rate>,
-    /// When that was heard.
+    /// When it was observed.
     pub at: Instant,
 }
 
@@ -63,7 +63,7 @@
         Self::with_tolerance(Tolerance::LIMITED, host)
     }
 
-    /// Creates the table of the entry on `host` for endpoints that bear what `tolerance` says.
+    /// Creates the table of the entry on `host` with the endpoints' tolerance.
     #[must_use]
     pub fn with_tolerance(tolerance: Tolerance, host: &str) -> Self {
         Self {
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Takes the hosts of all entries, among which limits are divided; tells whether these
-    /// are others than before.
+    /// Sets the hosts of all entries, among which limits are divided; returns whether they have
+    /// changed.
     pub fn set_entries(&mut self, entries: &[&str], now: Instant) -> bool {
         let mut entries: Vec<_> = entries.iter().map(|&entry| entry.to_owned()).collect();
         entries.sort_unstable();
@@ -85,16 +85,16 @@
         self.entries = entries;
         let (tolerance, host, entries) = (self.tolerance, &self.host, &self.entries);
         for (endpoint, row) in self.rows.iter_mut() {
-            let part = |rate| Allotment::with_tolerance(tolerance, host, entries, endpoint, rate);
-            row.set_allotment(row.rate().and_then(part), now);
+            let allot = |rate| Allotment::with_tolerance(tolerance, host, entries, endpoint, rate);
+            row.set_allotment(row.rate().and_then(allot), now);
         }
         true
     }
 
-    /// Takes what an endpoint says in its answer to a request that was sent at `sent`. A limit
-    /// is over only if the endpoint says nothing of it in an answer to what it `ran`, since it
-    /// may turn requests away in more than one way, and only if that was sent after the limit
-    /// had been named last.
+    /// Applies the headers of a response to a request that was sent at `sent`. A limit ends if a
+    /// response has no such header, but only if the endpoint `ran` the request, since a refusal
+    /// may omit the header, and only if the request was sent after the limit was last
+    /// announced.
     pub fn apply_headers(
         &mut self,
         endpoint: &str,
@@ -112,7 +112,8 @@
         }
     }
 
-    /// Takes that the endpoint was heard to have this limit, or none, at the moment `at`.
+    /// Applies a report that the endpoint had the given limit, or none, at the time `at`. Returns
+    /// the change, if there is one.
     pub fn apply_report(
         &mut self,
         endpoint: &str,
@@ -129,7 +130,7 @@
                 return None;
             }
         } else {
-            self.make_room();
+            self.evict_if_full();
             let row = Limit::new(limit, at);
             self.rows.insert(endpoint.to_owned(), row);
         }
@@ -137,8 +138,8 @@
             return None;
         }
         let (tolerance, host, entries) = (self.tolerance, &self.host, &self.entries);
-        let part = |rate| Allotment::with_tolerance(tolerance, host, entries, endpoint, rate);
-        let allotment = limit.and_then(part);
+        let allot = |rate| Allotment::with_tolerance(tolerance, host, entries, endpoint, rate);
+        let allotment = limit.and_then(allot);
         if let Some(row) = self.rows.get_mut(endpoint) {
             row.set_allotment(allotment, at);
         }
@@ -154,63 +155,66 @@
         self.rows.get(endpoint)?.rate()
     }
 
-    /// Returns how many endpoints have a limit.
+    /// Returns the number of endpoints with a limit.
     #[must_use]
     pub fn limited(&self) -> usize {
         let rows = self.rows.values();
         rows.filter(|row| row.rate().is_some()).count()
     }
 
-    /// Tells whether this entry shares the limit of an endpoint.
+    /// Returns whether this entry is a holder of an endpoint's limit.
     #[must_use]
     pub fn is_holder(&self, endpoint: &str) -> bool {
         self.rows.get(endpoint).is_some_and(Limit::is_holder)
     }
 
-    /// Returns until when an endpoint gets no request from this entry.
+    /// Returns until when this entry withholds requests from an endpoint.
     #[must_use]
     pub fn withheld(&self, endpoint: &str) -> Option<Withheld> {
         self.rows.get(endpoint)?.withheld()
     }
 
-    /// Takes that a request is sent to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn record_send(&mut self, endpoint: &str, now: Instant) {
         if let Some(row) = self.rows.get_mut(endpoint) {
             row.record_send(now);
         }
     }
 
-    /// Returns what other entries may need to know.
+    /// Returns the reports that are still valid, to be sent to other entries.
     pub fn reports(&self, now: Instant) -> impl Iterator<Item = Report> {
-        let is_new = move |at| now.saturating_duration_since(at) <= REPORT_LIFETIME;
-        let rows = self.rows.iter().filter(move |(_, row)| is_new(row.at()));
+        let is_valid = move |at| now.saturating_duration_since(at) <= REPORT_LIFETIME;
+        let rows = self
+            .rows
+            .iter()
+            .filter(move |(_, row)| is_valid(row.reported_at()));
         rows.map(|(endpoint, row)| Report {
             endpoint: endpoint.clone(),
             limit: row.rate(),
-            at: row.at(),
+            at: row.reported_at(),
         })
     }
 
-    /// Forgets what is past its time; tells whether there was any.
+    /// Removes expired limits; returns whether there were any.
     pub fn expire(&mut self, now: Instant) -> bool {
         let before = self.rows.len();
         self.rows.retain(|_, row| {
-            let most = if row.rate().is_some() {
-                FORGET_TIME
+            let retention = if row.rate().is_some() {
+                RETENTION
             } else {
                 REPORT_LIFETIME
             };
-            now.saturating_duration_since(row.at()) <= most
+            now.saturating_duration_since(row.reported_at()) <= retention
         });
         self.rows.len() < before
     }
 
-    /// Makes room for an endpoint, by the one of which nothing was heard for the longest.
-    fn make_room(&mut self) {
+    /// Evicts the endpoint with the oldest report if the table is full.
+    fn evict_if_full(&mut self) {
         if self.rows.len() < ROWS_MAX {
             return;
         }
-        let oldest = self.rows.iter().min_by_key(|(_, row)| row.at());
+        let oldest = self.rows.iter().min_by_key(|(_, row)| row.reported_at());
         if let Some(oldest) = oldest.map(|(endpoint, _)| endpoint.clone()) {
             self.rows.remove(&oldest);
         }
--- a/crates/throttle/src/warmups.rs
+++ b/crates/throttle/src/warmups.rs
@@ -1,8 +1,8 @@
-//! Endpoints that have started lately and take few requests a second until they are warm.
+//! Warm-up limits of recently started endpoints.
 //!
-//! An endpoint says how much longer it is cold, and the operators how many requests a second one
-//! takes then from all entries together, counted over each second. It is a [`Limits`] with
-//! another source and another window.
+//! An endpoint registers the remaining time of its warm-up. The operators configure how many
+//! requests per second it accepts from all entries together during that time, counted over any
+//! second. The limits are enforced by [`Limits`] with a window of their own.
 
 use std::time::Duration;
 
@@ -12,20 +12,20 @@
 
 use crate::{Limits, Rate, Tolerance};
 
-/// The longest time for which an endpoint is taken for cold: a longer one is a mistake rather
-/// than a start.
+/// The maximum remaining warm-up time that is accepted; a longer one is assumed to be an error.
 pub const WARMUP_MAX: Duration = Duration::from_mins(10);
-/// What a cold endpoint bears if the settings don't say: as much as one that names a limit.
+/// The default tolerance of endpoints that are warming up. Only the window differs from
+/// [`Tolerance::LIMITED`].
 pub const TOLERANCE: Tolerance = Tolerance {
     window: Duration::from_secs(1),
     ..Tolerance::LIMITED
 };
 
-/// The endpoints that are cold, by their names.
+/// The endpoints that are warming up, by name.
 #[derive(Debug)]
 pub struct Warmups {
     limits: Limits,
-    /// Until when each is.
+    /// The end of each endpoint's warm-up.
     until: Table<String, Instant>,
 }
 
@@ -39,14 +39,14 @@
         }
     }
 
-    /// Takes the hosts of all entries, which share what cold endpoints take; tells whether
-    /// these are others than before.
+    /// Sets the hosts of all entries, among which the warm-up limits are divided; returns
+    /// whether they have changed.
     pub fn set_entries(&mut self, entries: &[&str], now: Instant) -> bool {
         self.limits.set_entries(entries, now)
     }
 
-    /// Takes that an endpoint stays cold for the time `left` and takes `rate` meanwhile; tells
-    /// whether it was not known to be cold at this rate.
+    /// Records that an endpoint is warming up for the time `left` with the limit `rate`; returns
+    /// whether it had no such limit before.
     pub fn begin(&mut self, endpoint: &str, left: Duration, rate: Rate, now: Instant) -> bool {
         self.until
             .insert(endpoint.to_owned(), now + left.min(WARMUP_MAX));
@@ -55,16 +55,16 @@
             .is_some()
     }
 
-    /// Takes that an endpoint is cold no longer; tells whether it was.
+    /// Records the end of an endpoint's warm-up; returns whether it was warming up.
     pub fn end(&mut self, endpoint: &str, now: Instant) -> bool {
-        let was_cold = self.until.remove(endpoint).is_some();
-        if was_cold {
+        let was_warming_up = self.until.remove(endpoint).is_some();
+        if was_warming_up {
             self.limits.apply_report(endpoint, None, now, now);
         }
-        was_cold
+        was_warming_up
     }
 
-    /// Ends what is past its time; returns these endpoints.
+    /// Removes the endpoints whose warm-up is over, and returns their names.
     pub fn expire(&mut self, now: Instant) -> Vec<String> {
         let due = self.until.iter().filter(|(_, until)| **until <= now);
         let due: Vec<_> = due.map(|(endpoint, _)| endpoint.clone()).collect();
@@ -75,36 +75,36 @@
         due
     }
 
-    /// Returns how many requests a second a cold endpoint takes.
+    /// Returns the warm-up limit of an endpoint, or `None` if it is not warming up.
     #[must_use]
     pub fn rate(&self, endpoint: &str) -> Option<Rate> {
         self.limits.rate(endpoint)
     }
 
-    /// Tells whether this entry shares what a cold endpoint takes.
+    /// Returns whether this entry is a holder of an endpoint's warm-up limit.
     #[must_use]
     pub fn is_holder(&self, endpoint: &str) -> bool {
         self.limits.is_holder(endpoint)
     }
 
-    /// Returns until when an endpoint gets no request from this entry.
+    /// Returns until when this entry withholds requests from an endpoint.
     #[must_use]
     pub fn withheld(&self, endpoint: &str) -> Option<Withheld> {
         self.limits.withheld(endpoint)
     }
 
-    /// Takes that a request is sent to an endpoint.
+    /// Records that a request is sent to an endpoint.
     pub fn record_send(&mut self, endpoint: &str, now: Instant) {
         self.limits.record_send(endpoint, now);
     }
 
-    /// Returns how many endpoints are cold.
+    /// Returns the number of endpoints that are warming up.
     #[must_use]
     pub fn len(&self) -> usize {
         self.until.len()
     }
 
-    /// Tells whether none is cold.
+    /// Returns whether no endpoint is warming up.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.until.is_empty()
--- a/crates/throttle/tests/limits.rs
+++ b/crates/throttle/tests/limits.rs
@@ -1,8 +1,8 @@
-//! Limits that endpoints name for all entries together.
+//! Tests of rate limits that endpoints announce for all entries together.
 //!
-//! Patterns: six to 380 entries with more to send than an endpoint in need takes, limits from
-//! none to twenty a second, ones that fall and that change each second, words that are lost,
-//! entries that start, sleep or are cut off.
+//! Cases: one to 380 entries whose demand exceeds the limit of an overloaded endpoint; limits from
+//! zero to twenty requests per second, including limits that fall or change each second; lost
+//! reports; entries that start, are suspended or are partitioned.
 
 use std::time::Duration;
 
@@ -17,27 +17,27 @@
 const SECOND: Duration = Duration::from_secs(1);
 const WINDOW: Duration = Duration::from_secs(4);
 const ENDPOINT: &str = "i-1";
-/// The sizes of entries in service, and those to design for.
+/// The numbers of entries in production, and the larger ones to support.
 const SIZES: [usize; 7] = [1, 2, 6, 9, 36, 149, 380];
 const LIMITS: [f64; 9] = [0.0, 0.2, 0.5, 1.0, 1.4, 2.5, 5.0, 10.0, 20.0];
 
 fn rate(per_second: f64) -> Rate {
-    Rate::new(per_second).expect("a rate")
+    Rate::new(per_second).expect("a valid rate")
 }
 
 fn hosts(entries: usize) -> Vec<String> {
     (0..entries).map(|at| format!("edge-{at}")).collect()
 }
 
-fn names(limit: f64) -> Headers {
+fn announcing(limit: f64) -> Headers {
     Headers {
         limit: Header::Value(rate(limit)),
         ..Headers::default()
     }
 }
 
-/// What an endpoint bears in four seconds.
-fn borne(limit: f64) -> f64 {
+/// Returns the maximum number of requests that an endpoint tolerates in four seconds.
+fn tolerated(limit: f64) -> f64 {
     6.0 * limit + 5.0
 }
 
@@ -48,7 +48,7 @@
     limits
 }
 
-/// Sends a request if the endpoint may have one; returns whether it may.
+/// Sends a request unless it is withheld; returns whether it was sent.
 fn send(limits: &mut Limits, now: Instant) -> bool {
     let withheld = limits.withheld(ENDPOINT);
     let may = !withheld.is_some_and(|withheld| withheld.is_active(now));
@@ -63,19 +63,26 @@
     for entries in SIZES {
         let hosts = hosts(entries);
         for limit in LIMITS {
-            let part = |host: &String| Allotment::of(host, &hosts, ENDPOINT, rate(limit));
-            let parts: Vec<_> = hosts.iter().filter_map(part).collect();
-            let holders: Vec<_> = parts.iter().filter(|part| part.is_holder).collect();
+            let allotment = |host: &String| Allotment::of(host, &hosts, ENDPOINT, rate(limit));
+            let allotments: Vec<_> = hosts.iter().filter_map(allotment).collect();
+            let holders: Vec<_> = allotments
+                .iter()
+                .filter(|allotment| allotment.is_holder)
+                .collect();
             let sum: f64 = holders
                 .iter()
-                .map(|part| part.interval.as_secs_f64().recip())
+                .map(|allotment| allotment.interval.as_secs_f64().recip())
                 .sum();
-            let aim = limit.max(0.25);
+            let target = limit.max(0.25);
             assert!(
-                (sum / aim - 1.0).abs() < 1e-6,
+                (sum / target - 1.0).abs() < 1e-6,
                 "{entries} entries, {limit}/s: {sum}"
             );
-            assert_eq!(parts.len(), entries, "one that holds none may ask");
+            assert_eq!(
+                allotments.len(),
+                entries,
+                "entries that are not holders may probe"
+            );
         }
     }
 }
@@ -84,38 +91,40 @@
 fn an_entry_that_is_not_listed_has_no_part() {
     let now = clock::now();
     assert_eq!(Allotment::of("new", &hosts(6), ENDPOINT, rate(1.0)), None);
-    let mut alone = Limits::new("edge-0");
-    alone.apply_headers(ENDPOINT, &names(5.0), true, now, now);
-    assert_eq!(alone.withheld(ENDPOINT), Some(Withheld::Indefinitely));
-    assert!(!send(&mut alone, now + 60 * SECOND));
-    alone.set_entries(&["edge-0"], now + SECOND);
-    assert!(send(&mut alone, now + 2 * SECOND));
+    let mut unlisted = Limits::new("edge-0");
+    unlisted.apply_headers(ENDPOINT, &announcing(5.0), true, now, now);
+    assert_eq!(unlisted.withheld(ENDPOINT), Some(Withheld::Indefinitely));
+    assert!(!send(&mut unlisted, now + 60 * SECOND));
+    unlisted.set_entries(&["edge-0"], now + SECOND);
+    assert!(send(&mut unlisted, now + 2 * SECOND));
 }
 
 /// One entry of a run.
 struct Entry {
     host: String,
     limits: Limits,
-    /// The requests under way: when they arrive at the endpoint or when their answers come.
+    /// The requests in flight, with the time of their arrival at the endpoint.
     arriving: Vec<(Instant, Instant)>,
-    answers: Vec<(Instant, Instant, Headers)>,
-    words: Vec<(Instant, Report)>,
+    /// The responses in flight, with the time of their arrival at the entry.
+    responses: Vec<(Instant, Instant, Headers)>,
+    /// The reports in flight, with the time of their arrival at the entry.
+    reports: Vec<(Instant, Report)>,
 }
 
-/// Entries that would send an endpoint far more than it takes.
+/// Entries whose demand for an endpoint far exceeds its limit.
 struct Run {
     start: Instant,
     now: Instant,
     rng: StdRng,
     entries: Vec<Entry>,
-    /// The requests a second that each entry would send.
+    /// The demand of each entry in requests per second.
     demand: f64,
-    /// The part of words that are lost.
+    /// The fraction of reports that are lost.
     loss: f64,
-    /// Entries that neither hear nor tell others.
-    cut_off: Vec<usize>,
+    /// Entries that are partitioned from the others.
+    partitioned: Vec<usize>,
     /// Entries whose hosts are suspended.
-    asleep: Vec<usize>,
+    suspended: Vec<usize>,
     arrivals: Vec<Instant>,
 }
 
@@ -131,8 +140,8 @@
             host: host.clone(),
             limits: limits(host, &hosts, start),
             arriving: Vec::new(),
-            answers: Vec::new(),
-            words: Vec::new(),
+            responses: Vec::new(),
+            reports: Vec::new(),
         };
         Self {
             start,
@@ -141,21 +150,22 @@
             entries: hosts.iter().map(entry).collect(),
             demand: 20.0,
             loss: 1.0 / 30.0,
-            cut_off: Vec::new(),
-            asleep: Vec::new(),
+            partitioned: Vec::new(),
+            suspended: Vec::new(),
             arrivals: Vec::new(),
         }
     }
 
-    /// Lets `time` pass while the endpoint names `limit`, which depends on the time passed.
+    /// Advances the time by `time` while the endpoint announces `limit`, a function of the time
+    /// passed.
     fn pass(&mut self, time: Duration, limit: impl Fn(Duration) -> Option<f64>) {
         let (begin, end) = (self.now, self.now + time);
         let mut step = 0;
         while self.now < end {
-            let said = limit(self.now - begin).map_or_else(Headers::default, names);
+            let headers = limit(self.now - begin).map_or_else(Headers::default, announcing);
             for at in 0..self.entries.len() {
-                if !self.asleep.contains(&at) {
-                    self.step(at, said);
+                if !self.suspended.contains(&at) {
+                    self.step(at, headers);
                 }
             }
             if step % GOSSIP_EVERY == 0 {
@@ -166,12 +176,12 @@
         }
     }
 
-    fn step(&mut self, at: usize, said: Headers) {
+    fn step(&mut self, at: usize, headers: Headers) {
         let (now, entry) = (self.now, &mut self.entries[at]);
-        for (_, word) in entry.words.extract_if(.., |(due, _)| *due <= now) {
+        for (_, report) in entry.reports.extract_if(.., |(due, _)| *due <= now) {
             entry
                 .limits
-                .apply_report(&word.endpoint, word.limit, word.at, now);
+                .apply_report(&report.endpoint, report.limit, report.at, now);
         }
         let arriving: Vec<_> = entry
             .arriving
@@ -180,19 +190,21 @@
         for (_, sent) in arriving {
             self.arrivals.push(now);
             let answered = now + Duration::from_millis(self.rng.random_range(2..150));
-            entry.answers.push((answered, sent, said));
+            entry.responses.push((answered, sent, headers));
         }
-        let answers: Vec<_> = entry
-            .answers
+        let responses: Vec<_> = entry
+            .responses
             .extract_if(.., |(due, ..)| *due <= now)
             .collect();
-        let mut told = None;
-        for (_, sent, said) in answers {
-            let change = entry.limits.apply_headers(ENDPOINT, &said, true, sent, now);
+        let mut report = None;
+        for (_, sent, headers) in responses {
+            let change = entry
+                .limits
+                .apply_headers(ENDPOINT, &headers, true, sent, now);
             if let Some(change) = change.filter(|change| change.is_urgent()) {
                 let at = if change.after.is_some() { now } else { sent };
                 let (endpoint, limit) = (ENDPOINT.to_owned(), change.after);
-                told = Some(Report {
+                report = Some(Report {
                     endpoint,
                     limit,
                     at,
@@ -205,20 +217,20 @@
         if wants && send(&mut entry.limits, now) {
             entry.arriving.push((now + TRANSIT, now));
         }
-        if let Some(word) = told {
+        if let Some(report) = report {
             (0..self.entries.len())
                 .filter(|&to| to != at)
-                .for_each(|to| self.tell(at, to, &word));
+                .for_each(|to| self.send_report(at, to, &report));
         }
     }
 
-    fn tell(&mut self, from: usize, to: usize, word: &Report) {
-        let is_cut = self.cut_off.contains(&from) != self.cut_off.contains(&to);
-        let hears = !is_cut && !self.asleep.contains(&to);
-        if hears && !self.rng.random_bool(self.loss) {
+    fn send_report(&mut self, from: usize, to: usize, report: &Report) {
+        let is_cut = self.partitioned.contains(&from) != self.partitioned.contains(&to);
+        let is_delivered = !is_cut && !self.suspended.contains(&to);
+        if is_delivered && !self.rng.random_bool(self.loss) {
             self.entries[to]
-                .words
-                .push((self.now + TRANSIT, word.clone()));
+                .reports
+                .push((self.now + TRANSIT, report.clone()));
         }
     }
 
@@ -227,35 +239,35 @@
             let to = (0..self.entries.len())
                 .filter(|&to| to != at)
                 .choose(&mut self.rng);
-            let words: Vec<_> = self.entries[at].limits.reports(self.now).collect();
-            for word in words {
+            let reports: Vec<_> = self.entries[at].limits.reports(self.now).collect();
+            for report in reports {
                 if let Some(to) = to {
-                    self.tell(at, to, &word);
+                    self.send_report(at, to, &report);
                 }
             }
         }
     }
 
-    /// Returns the most arrivals in four seconds that begin after `from`, counted from the
-    /// start.
-    fn most(&self, from: Duration) -> f64 {
+    /// Returns the maximum number of arrivals within any four seconds that begin after `from`,
+    /// counted from the start.
+    fn max_in_window(&self, from: Duration) -> f64 {
         let late = &self.arrivals[self.arrivals.partition_point(|&at| at < self.start + from)..];
         let within = |(first, &at): (usize, &Instant)| {
             late[first..].partition_point(|&other| other <= at + WINDOW)
         };
         let most = late.iter().enumerate().map(within).max().unwrap_or(0);
-        f64::from(u32::try_from(most).expect("some thousands"))
+        f64::from(u32::try_from(most).expect("fewer than 2^32 requests"))
     }
 
     fn count(&self, from: Duration, to: Duration) -> f64 {
         let within = |&&at: &&Instant| at >= self.start + from && at < self.start + to;
         let count = self.arrivals.iter().filter(within).count();
-        f64::from(u32::try_from(count).expect("some thousands"))
+        f64::from(u32::try_from(count).expect("fewer than 2^32 requests"))
     }
 
     fn all_may_send(&self) -> bool {
-        let free = |entry: &Entry| entry.limits.withheld(ENDPOINT).is_none();
-        self.entries.iter().all(free)
+        let may_send = |entry: &Entry| entry.limits.withheld(ENDPOINT).is_none();
+        self.entries.iter().all(may_send)
     }
 }
 
@@ -266,19 +278,19 @@
             let mut run = Run::new(entries, 1);
             run.demand += 5.0 * limit;
             run.pass(40 * SECOND, |_| Some(limit));
-            let most = run.most(3 * SECOND);
+            let most = run.max_in_window(3 * SECOND);
             assert!(
-                most <= borne(limit),
+                most <= tolerated(limit),
                 "{entries} entries, {limit}/s: {most} in 4 s"
             );
             let used = run.count(10 * SECOND, 40 * SECOND) / 30.0;
-            let aim = limit.max(0.25);
+            let target = limit.max(0.25);
             assert!(
-                used <= aim * 1.01 + 0.1,
+                used <= target * 1.01 + 0.1,
                 "{entries} entries, {limit}/s: {used}/s"
             );
             assert!(
-                used >= aim * 0.7 - 0.1,
+                used >= target * 0.7 - 0.1,
                 "{entries} entries, {limit}/s: {used}/s"
             );
         }
@@ -292,9 +304,9 @@
             let mut run = Run::new(entries, seed);
             run.pass(10 * SECOND, |_| Some(5.0));
             run.pass(20 * SECOND, |_| Some(1.0));
-            let most = run.most(10 * SECOND + Duration::from_millis(500));
+            let most = run.max_in_window(10 * SECOND + Duration::from_millis(500));
             assert!(
-                most <= borne(1.0),
+                most <= tolerated(1.0),
                 "{entries} entries, seed {seed}: {most} in 4 s"
             );
         }
@@ -314,12 +326,12 @@
     for entries in SIZES {
         let mut run = Run::new(entries, 2);
         run.pass(40 * SECOND, changing);
-        let most = run.most(3 * SECOND);
-        assert!(most <= borne(3.0), "{entries} entries: {most} in 4 s");
+        let most = run.max_in_window(3 * SECOND);
+        assert!(most <= tolerated(3.0), "{entries} entries: {most} in 4 s");
         let used = run.count(10 * SECOND, 40 * SECOND) / 30.0;
         assert!(
             used < 2.0,
-            "{entries} entries: {used}/s, where 1.6 are allowed on average"
+            "{entries} entries: {used}/s, where the mean limit is 1.6/s"
         );
     }
 }
@@ -336,7 +348,8 @@
     }
 }
 
-/// Grounds: datagrams within a data centre are lost one in thirty at worst; here half are.
+/// Datagrams within a data centre are lost at a rate of at most one in thirty; here half of the
+/// reports are lost.
 #[test]
 fn entries_agree_in_the_end_whatever_words_are_lost() {
     for entries in [6, 36] {
@@ -354,27 +367,27 @@
 fn entries_that_were_cut_off_meanwhile_hear_that_a_limit_is_over() {
     let mut run = Run::new(36, 5);
     run.pass(10 * SECOND, |_| Some(1.0));
-    run.cut_off = vec![3, 4];
+    run.partitioned = vec![3, 4];
     run.pass(10 * SECOND, |_| None);
-    run.cut_off.clear();
+    run.partitioned.clear();
     run.pass(10 * SECOND, |_| None);
     assert!(run.all_may_send());
 }
 
-/// Grounds: a host that was suspended knows a limit that has fallen meanwhile.
+/// An entry on a suspended host resumes with a cached limit that has fallen meanwhile.
 #[test]
 fn entries_that_were_asleep_when_a_limit_fell_take_no_more_than_their_parts() {
     let mut run = Run::new(6, 7);
     run.pass(10 * SECOND, |_| Some(5.0));
-    run.asleep = vec![1, 2];
+    run.suspended = vec![1, 2];
     run.pass(10 * SECOND, |_| Some(1.0));
-    run.asleep.clear();
+    run.suspended.clear();
     run.pass(20 * SECOND, |_| Some(1.0));
-    let most = run.most(11 * SECOND);
-    assert!(most <= borne(1.0), "{most} in 4 s");
+    let most = run.max_in_window(11 * SECOND);
+    assert!(most <= tolerated(1.0), "{most} in 4 s");
 }
 
-/// Grounds: one entry after the other is restarted, and knows nothing of the limit.
+/// Entries are restarted one after the other and lose their cached limits.
 #[test]
 fn entries_that_start_learn_a_limit_from_their_first_answer_at_the_latest() {
     let mut run = Run::new(6, 8);
@@ -386,18 +399,18 @@
         run.pass(SECOND, |_| Some(1.0));
         assert_eq!(run.entries[at].limits.rate(ENDPOINT), Some(rate(1.0)));
     }
-    let most = run.most(3 * SECOND);
-    assert!(most <= borne(1.0), "{most} in 4 s");
+    let most = run.max_in_window(3 * SECOND);
+    assert!(most <= tolerated(1.0), "{most} in 4 s");
 }
 
-/// Grounds: entries are replaced; the new one is on its own list at once and on the others'
-/// seconds later.
+/// Entries are replaced: a new entry is in its own list of entries at once, and in those of the
+/// others seconds later.
 #[test]
 fn entries_whose_lists_differ_stay_within_what_an_endpoint_bears() {
     for entries in [6, 9, 36, 149] {
         for limit in LIMITS {
             let mut run = Run::new(entries, 6);
-            // Two are known to themselves alone, and take a third for gone.
+            // Only the two new entries list themselves, and both lists lack a third entry.
             let all = hosts(entries);
             for newcomer in ["edge-x", "edge-y"] {
                 let list: Vec<_> = all[1..].iter().map(String::as_str).collect();
@@ -409,23 +422,23 @@
                     host: newcomer.to_owned(),
                     limits,
                     arriving: Vec::new(),
-                    answers: Vec::new(),
-                    words: Vec::new(),
+                    responses: Vec::new(),
+                    reports: Vec::new(),
                 };
                 run.entries.push(entry);
             }
             run.pass(40 * SECOND, |_| Some(limit));
-            let most = run.most(3 * SECOND);
+            let most = run.max_in_window(3 * SECOND);
             assert!(
-                most <= borne(limit),
+                most <= tolerated(limit),
                 "{entries} entries, {limit}/s: {most} in 4 s"
             );
         }
     }
 }
 
-/// Sends as many requests as may be sent at one moment, after a pause in which none was wanted;
-/// returns how many.
+/// Sends as many requests as possible at one moment, after a period without demand; returns how
+/// many were sent.
 fn burst(all: &mut [Limits], limit: f64, now: Instant) -> usize {
     let late = now + 40 * SECOND;
     for limits in &mut *all {
@@ -444,33 +457,36 @@
             let new = |host: &String| limits(host, &hosts, now);
             let mut all: Vec<_> = hosts.iter().map(new).collect();
             let burst = burst(&mut all, limit, now);
-            let most = f64::from(u32::try_from(burst).expect("some hundreds"));
+            let most = f64::from(u32::try_from(burst).expect("fewer than 2^32 requests"));
             assert!(burst <= entries, "{entries} entries, {limit}/s: {burst}");
             assert!(
-                most <= borne(limit),
+                most <= tolerated(limit),
                 "{entries} entries, {limit}/s: {burst}"
             );
         }
     }
 }
 
-/// Grounds: two entries are new, and the others' lists lack them still.
+/// Two entries are new, and the lists of the others lack them.
 #[test]
 fn entries_that_others_do_not_know_yet_fit_into_what_an_endpoint_bears_at_once() {
     let now = clock::now();
     for entries in SIZES {
         for limit in LIMITS {
-            let known = hosts(entries);
-            let mut all: Vec<_> = known.iter().map(|host| limits(host, &known, now)).collect();
+            let listed = hosts(entries);
+            let mut all: Vec<_> = listed
+                .iter()
+                .map(|host| limits(host, &listed, now))
+                .collect();
             for newcomer in ["edge-x", "edge-y"] {
-                let mut list = known.clone();
+                let mut list = listed.clone();
                 list.push(newcomer.to_owned());
                 all.push(limits(newcomer, &list, now));
             }
             let burst = burst(&mut all, limit, now);
-            let most = f64::from(u32::try_from(burst).expect("some hundreds"));
+            let most = f64::from(u32::try_from(burst).expect("fewer than 2^32 requests"));
             assert!(
-                most <= borne(limit),
+                most <= tolerated(limit),
                 "{entries} entries, {limit}/s: {burst}"
             );
         }
@@ -482,29 +498,29 @@
     let now = clock::now();
     let mut limits = limits("edge-0", &hosts(1), now);
     let at = |millis| now + Duration::from_millis(millis);
-    let nothing = Headers::default();
-    let unreadable = Headers {
+    let absent = Headers::default();
+    let invalid = Headers {
         limit: Header::Invalid,
         ..Headers::default()
     };
-    limits.apply_headers(ENDPOINT, &names(1.0), true, at(0), at(100));
-    // Sent before the limit was heard of; turned away; unreadable.
+    limits.apply_headers(ENDPOINT, &announcing(1.0), true, at(0), at(100));
+    // The request was sent before the limit was received; refused; an invalid header.
     assert_eq!(
-        limits.apply_headers(ENDPOINT, &nothing, true, at(50), at(200)),
+        limits.apply_headers(ENDPOINT, &absent, true, at(50), at(200)),
         None
     );
     assert_eq!(
-        limits.apply_headers(ENDPOINT, &nothing, false, at(150), at(200)),
+        limits.apply_headers(ENDPOINT, &absent, false, at(150), at(200)),
         None
     );
     assert_eq!(
-        limits.apply_headers(ENDPOINT, &unreadable, true, at(150), at(200)),
+        limits.apply_headers(ENDPOINT, &invalid, true, at(150), at(200)),
         None
     );
     assert_eq!(limits.rate(ENDPOINT), Some(rate(1.0)));
-    let change = limits.apply_headers(ENDPOINT, &nothing, true, at(150), at(250));
+    let change = limits.apply_headers(ENDPOINT, &absent, true, at(150), at(250));
     assert_eq!(change.map(|change| change.after), Some(None));
-    // A word of before is known to be old.
+    // A report from before the end of the limit is outdated.
     assert_eq!(
         limits.apply_report(ENDPOINT, Some(rate(1.0)), at(120), at(300)),
         None
@@ -521,15 +537,18 @@
 fn an_entry_without_a_part_asks_after_a_minute_without_a_word() {
     let now = clock::now();
     let hosts = hosts(149);
-    let without = |host: &&String| {
-        let part = Allotment::of(host, &hosts, ENDPOINT, rate(1.0));
-        part.is_some_and(|part| !part.is_holder)
+    let is_not_holder = |host: &&String| {
+        let allotment = Allotment::of(host, &hosts, ENDPOINT, rate(1.0));
+        allotment.is_some_and(|allotment| !allotment.is_holder)
     };
-    let host = hosts.iter().find(without).expect("nine of 149 share it");
+    let host = hosts
+        .iter()
+        .find(is_not_holder)
+        .expect("only nine of 149 are holders");
     let mut limits = limits(host, &hosts, now);
     limits.apply_report(ENDPOINT, Some(rate(1.0)), now, now);
     assert!(!send(&mut limits, now + 59 * SECOND));
-    // A word in between, which changes nothing else.
+    // A report in between only extends the time until the probe.
     limits.apply_report(
         ENDPOINT,
         Some(rate(1.0)),
@@ -559,5 +578,8 @@
     for number in 0..5_000 {
         limits.apply_report(&format!("i-{number}"), Some(rate(1.0)), late, late);
     }
-    assert!(limits.limited() < 3_000, "what is remembered is bounded");
+    assert!(
+        limits.limited() < 3_000,
+        "the number of cached endpoints is bounded"
+    );
 }
