--- a/crates/retry/src/backoff.rs
+++ b/crates/retry/src/backoff.rs
@@ -1,16 +1,16 @@
-//! Delays between attempts.
+//! Exponential back-off between attempts.
 
 use std::time::Duration;
 
 use rand::Rng;
 
-/// Delays that double with each attempt and are jittered over their whole
-/// length, so that callers which failed together do not return together.
+/// Exponential back-off with full jitter, which spreads the retries of requests
+/// that failed at the same time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Backoff {
-    /// The longest delay before the first repeated attempt.
+    /// The maximum delay before the first retry.
     pub base: Duration,
-    /// The longest delay before any.
+    /// The maximum delay before any retry.
     pub max: Duration,
 }
 
@@ -24,7 +24,7 @@
 }
 
 impl Backoff {
-    /// Returns the delay before repeated attempt `attempt`, the first being 1.
+    /// Returns the delay before retry number `attempt`, starting at 1.
     pub fn delay(&self, attempt: u32, rng: &mut impl Rng) -> Duration {
         let doublings = attempt.saturating_sub(1);
         let factor = 1_u32.checked_shl(doublings).unwrap_or(u32::MAX);
--- a/crates/retry/src/budget.rs
+++ b/crates/retry/src/budget.rs
@@ -1,9 +1,9 @@
-//! A bound on the work that repeated attempts add.
+//! A bound on the load that repeated attempts add.
 
-/// A bound on the work that repeated attempts add: a token bucket that first
-/// attempts fill, so that the bound is a fraction of them and needs no clock.
+/// A bound on the load that repeated attempts add: a token bucket that is filled by
+/// first attempts, so the bound is a fraction of these and needs no clock.
 ///
-/// Of `n` first attempts at most `ratio * n + burst` are followed by another.
+/// At most `ratio * n + burst` repeated attempts follow `n` first attempts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
     ratio: f64,
@@ -12,8 +12,8 @@
 }
 
 impl Budget {
-    /// Creates a full budget of `ratio` repeated attempts for each first one,
-    /// of which `burst` may come together.
+    /// Creates a full budget of `ratio` repeated attempts per first attempt, with
+    /// bursts of up to `burst`.
     #[must_use]
     pub const fn new(ratio: f64, burst: f64) -> Self {
         Self {
@@ -23,12 +23,12 @@
         }
     }
 
-    /// Counts a first attempt.
+    /// Adds the tokens for a first attempt.
     pub const fn deposit(&mut self) {
         self.tokens = (self.tokens + self.ratio).min(self.burst);
     }
 
-    /// Pays for a repeated attempt; returns whether there was enough.
+    /// Takes a token for a repeated attempt; returns `false` if there is none.
     pub const fn withdraw(&mut self) -> bool {
         let enough = self.tokens >= 1.0;
         if enough {
@@ -37,7 +37,7 @@
         enough
     }
 
-    /// Returns the number of repeated attempts that could be made at once.
+    /// Returns the available tokens, which is the number of repeated attempts possible now.
     #[must_use]
     pub const fn tokens(&self) -> f64 {
         self.tokens
--- a/crates/retry/src/deadline.rs
+++ b/crates/retry/src/deadline.rs
@@ -1,58 +1,58 @@
-//! The time that a request has left.
+//! The remaining time of a request.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_derive::number;
 
-/// The time that a request has left, as it is sent over a hop.
+/// The remaining time of a request, as sent over a hop.
 ///
-/// It is a length and not a time of day, since clocks of hosts differ. The way
-/// itself is not counted; the margin of the hop has to cover it.
+/// This is a duration rather than a time of day, since the clocks of hosts differ.
+/// The transit time is not subtracted, so the margin of the hop must cover it.
 #[number]
 #[serde(transparent)]
 pub struct Remaining(Duration);
 
 impl Remaining {
-    /// Creates the time left as a caller states it.
+    /// Creates the remaining time as stated by a caller.
     #[must_use]
     pub const fn new(time: Duration) -> Self {
         Self(time)
     }
 
-    /// Returns the time left.
+    /// Returns the remaining time as a duration.
     #[must_use]
     pub const fn get(self) -> Duration {
         self.0
     }
 }
 
-/// When a request has to be complete, by this process's clock.
+/// The time at which a request must be complete, by the clock of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Deadline(Instant);
 
 impl Deadline {
-    /// Creates the deadline of a request that has come over a hop with `left`,
-    /// but no later than `most` from now.
+    /// Creates the deadline of a request received over a hop with the remaining
+    /// time `left`, limited to `most`.
     #[must_use]
     pub fn received(left: Remaining, most: Duration, now: Instant) -> Self {
         Self(now + left.0.min(most))
     }
 
-    /// Returns the deadline as a time of this process's clock.
+    /// Returns the deadline by the clock of this process.
     #[must_use]
     pub const fn at(self) -> Instant {
         self.0
     }
 
-    /// Returns what is left at `now`.
+    /// Returns the remaining time at `now`.
     #[must_use]
     pub fn left(self, now: Instant) -> Duration {
         self.0.saturating_duration_since(now)
     }
 
-    /// Returns the time left for the next hop, which is shorter by `margin`
-    /// so that its answer arrives in time; `None` if nothing remains.
+    /// Returns the remaining time for the next hop, shortened by `margin` to let its
+    /// response arrive in time; `None` if no time remains.
     #[must_use]
     pub fn next_hop(self, margin: Duration, now: Instant) -> Option<Remaining> {
         let left = self.left(now).checked_sub(margin)?;
--- a/crates/retry/src/decision.rs
+++ b/crates/retry/src/decision.rs
@@ -1,33 +1,33 @@
-//! Whether a request is tried again.
+//! The decision whether to retry a request.
 
 use std::time::Duration;
 
 use cactusnotch_derive::record;
 use derive_more::Display;
 
-/// Whether a request is tried again.
+/// The decision whether to retry a request.
 #[record]
 #[derive(Copy)]
 pub enum Decision {
-    /// Try again after this time.
+    /// Retry after this delay.
     Again(Duration),
-    /// Give up for this reason, and tell the caller the last outcome.
+    /// Give up for this reason, and return the last outcome to the caller.
     GiveUp(Reason),
 }
 
-/// Why a request is not tried again.
+/// Why a request is not retried.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Reason {
-    /// It may have run and is not idempotent.
+    /// The request may have run and is not idempotent, or its response has started.
     #[display("it may have run and is not idempotent")]
     Unsafe,
-    /// It has been tried as often as is allowed.
+    /// The maximum number of attempts is reached.
     #[display("it has been tried as often as is allowed")]
     Attempts,
-    /// The time left is too short for another attempt.
+    /// The remaining time is too short for another attempt.
     #[display("the time left is too short")]
     Deadline,
-    /// Repeated attempts have used up their budget.
+    /// The retry budget is exhausted.
     #[display("the budget of repeated attempts is used up")]
     Budget,
 }
--- a/crates/retry/src/hedge.rs
+++ b/crates/retry/src/hedge.rs
@@ -1,4 +1,4 @@
-//! The decision to try a slow request at a second endpoint meanwhile.
+//! Hedging: a second, concurrent attempt for a slow request.
 
 use std::time::Duration;
 
@@ -6,33 +6,33 @@
 
 use crate::{Budget, Deadline, Options};
 
-/// The decision to try a slow request at a second endpoint meanwhile, with a
-/// budget of its own. The first answer counts and the other attempt is
-/// cancelled.
+/// Decides whether a slow request gets a second, concurrent attempt on another
+/// endpoint, within a budget of its own. The first response is used and the other
+/// attempt is cancelled.
 #[derive(Debug, Clone)]
 pub struct Hedge {
     min_time_left: Duration,
     budget: Budget,
 }
 
-/// A request that has no piece of an answer yet.
+/// A request without any response piece so far.
 #[derive(Debug, Clone, Copy)]
 pub struct Pending {
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether it has been hedged already.
+    /// Whether the request has already been hedged.
     pub hedged: bool,
     /// When its attempt started.
     pub started: Instant,
-    /// The first-token time that few attempts exceed, such as the 95th
-    /// percentile of those measured.
+    /// The time to the first token that few attempts exceed, such as the measured
+    /// 95th percentile.
     pub latency_bound: Duration,
-    /// When the request has to be complete.
+    /// When the request must be complete.
     pub deadline: Deadline,
 }
 
 impl Hedge {
-    /// Creates the decision with a full budget.
+    /// Creates the policy with a full budget.
     #[must_use]
     pub const fn new(options: &Options) -> Self {
         Self {
@@ -46,8 +46,9 @@
         self.budget.deposit();
     }
 
-    /// Decides whether a request gets a second attempt now, and pays for it if
-    /// so. Ask again when its usual first-token time has passed.
+    /// Decides whether a request gets a second attempt now, and takes a token from
+    /// the budget if so. The answer is `false` before `latency_bound` has passed;
+    /// call this again after that.
     pub fn decide(&mut self, pending: &Pending, now: Instant) -> bool {
         let waited = now.saturating_duration_since(pending.started);
         pending.idempotent
--- a/crates/retry/src/lib.rs
+++ b/crates/retry/src/lib.rs
@@ -1,9 +1,9 @@
-//! Decides whether and when a request is tried again.
+//! Decides whether and when a request is retried.
 //!
 //! [`Retry`] and [`Hedge`] decide for one request; their [`Budget`]s, shared by
-//! all requests of an entry, bound how much work repeated attempts add. A
-//! [`Deadline`] travels with the request and never grows over a hop. The crate
-//! does no I/O; time and the random source are passed in.
+//! all requests of an entry, bound the load that repeated attempts add. A
+//! [`Deadline`] is passed on with the request and never extends over a hop. The
+//! crate does no I/O; time and the random source are passed in.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/retry/src/options.rs
+++ b/crates/retry/src/options.rs
@@ -1,25 +1,25 @@
-//! Configuration of repeated attempts.
+//! Configuration of retries and hedging.
 
 use std::time::Duration;
 
 use crate::Backoff;
 
-/// Configuration of repeated attempts.
+/// Configuration of retries and hedging.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Options {
-    /// Repeated attempts for each first one, over all requests.
+    /// The maximum number of retries per first attempt, over all requests.
     pub ratio: f64,
-    /// Repeated attempts that may come together.
+    /// The maximum burst of retries.
     pub burst: f64,
-    /// The most attempts for one request, the first included.
+    /// The maximum number of attempts per request, including the first.
     pub attempts: u32,
     /// The delays between attempts.
     pub backoff: Backoff,
-    /// The shortest time left in which another attempt makes sense.
+    /// The minimum remaining time for another attempt.
     pub min_time_left: Duration,
-    /// Hedged attempts for each first one, over all requests.
+    /// The maximum number of hedged attempts per first attempt, over all requests.
     pub hedge_ratio: f64,
-    /// Hedged attempts that may come together.
+    /// The maximum burst of hedged attempts.
     pub hedge_burst: f64,
 }
 
--- a/crates/retry/src/retry.rs
+++ b/crates/retry/src/retry.rs
@@ -1,4 +1,4 @@
-//! The decision to try a request again.
+//! The retry policy.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 use crate::decision::Reason;
 use crate::{Budget, Deadline, Decision, Options};
 
-/// The decision to try a request again, with the budget of an entry.
+/// The retry policy of an entry, with its budget.
 #[derive(Debug, Clone)]
 pub struct Retry {
     options: Options,
@@ -19,20 +19,20 @@
 /// A failed attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct Failure {
-    /// What is known of the attempt.
+    /// The outcome of the attempt.
     pub outcome: Outcome,
     /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether a piece of the answer has reached the caller.
+    /// Whether a piece of the response has been sent to the caller.
     pub response_started: bool,
-    /// The attempts so far, this one included.
+    /// The number of attempts so far, including this one.
     pub attempts: u32,
-    /// When the request has to be complete.
+    /// When the request must be complete.
     pub deadline: Deadline,
 }
 
 impl Retry {
-    /// Creates the decision with a full budget.
+    /// Creates the policy with a full budget.
     #[must_use]
     pub const fn new(options: Options) -> Self {
         Self {
@@ -46,22 +46,22 @@
         self.budget.deposit();
     }
 
-    /// Decides whether a request whose attempt has failed is tried again, and
-    /// pays for it if so.
+    /// Decides whether a request is retried after a failed attempt, and takes a
+    /// token from the budget if so.
     ///
-    /// An attempt that provably did not run may be repeated whatever the
-    /// request. The first repetition after such a refusal comes at once, since
-    /// it goes to another endpoint.
+    /// An attempt that is certain not to have run may be retried even if the
+    /// request is not idempotent. The first retry after such a refusal has no
+    /// delay, since it goes to another endpoint.
     pub fn decide(&mut self, failure: &Failure, now: Instant, rng: &mut impl Rng) -> Decision {
-        let ran = failure.outcome == Outcome::Unknown;
-        if failure.response_started || (ran && !failure.idempotent) {
+        let may_have_run = failure.outcome == Outcome::Unknown;
+        if failure.response_started || (may_have_run && !failure.idempotent) {
             return Decision::GiveUp(Reason::Unsafe);
         }
         if failure.attempts >= self.options.attempts {
             return Decision::GiveUp(Reason::Attempts);
         }
         let delay = match failure.attempts {
-            0 | 1 if !ran => Duration::ZERO,
+            0 | 1 if !may_have_run => Duration::ZERO,
             attempts => self.options.backoff.delay(attempts, rng),
         };
         if failure.deadline.left(now) < delay + self.options.min_time_left {
--- a/crates/retry/tests/retry.rs
+++ b/crates/retry/tests/retry.rs
@@ -1,4 +1,4 @@
-//! Budgets, deadlines and hedging through the public API.
+//! Tests of budgets, deadlines and hedging through the public API.
 
 use std::time::Duration;
 
@@ -34,8 +34,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// If every attempt of every request fails, repeated attempts stay a
-    /// fraction of the first ones.
+    /// If every attempt of every request fails, the number of retries remains a
+    /// fraction of the number of requests.
     #[test]
     fn the_budget_bounds_the_attempts_in_a_full_outage(
         requests in 1_u32..3_000,
@@ -47,22 +47,22 @@
         let mut retry = Retry::new(options);
         let rng = &mut StdRng::seed_from_u64(seed);
         let now = clock::now();
-        let mut again = 0_u32;
+        let mut retries = 0_u32;
         for (_, ran) in (0..requests).zip(outcomes.iter().cycle()) {
             retry.record_request();
             let outcome = if *ran { Outcome::Unknown } else { Outcome::NotRun };
             let mut failure = Failure { outcome, ..failure(now) };
             while let Decision::Again(_) = retry.decide(&failure, now, rng) {
                 failure.attempts += 1;
-                again += 1;
+                retries += 1;
             }
         }
         let bound = ratio * f64::from(requests) + burst;
-        prop_assert!(f64::from(again) <= bound + 1e-6, "{again} of {requests}");
+        prop_assert!(f64::from(retries) <= bound + 1e-6, "{retries} of {requests}");
     }
 
-    /// Whatever the hops, their limits, margins and delays, no hop has more
-    /// time than the one before it has left.
+    /// For any limits, margins and delays of the hops, no hop gets more time than
+    /// the previous hop has left.
     #[test]
     fn a_deadline_never_grows_over_hops(
         first in 0_u64..20_000,
@@ -133,7 +133,7 @@
     }
     assert!(
         (retry.budget().tokens() - 9.0).abs() < 1e-9,
-        "giving up is free"
+        "giving up takes no token"
     );
 }
 
@@ -163,7 +163,10 @@
         deadline: failure(started).deadline,
     };
     let now = started + SECOND;
-    assert!(!hedge.decide(&pending, started), "not yet slow");
+    assert!(
+        !hedge.decide(&pending, started),
+        "the latency bound has not passed"
+    );
     assert!(!hedge.decide(
         &Pending {
             idempotent: false,
