--- a/crates/route/src/row.rs
+++ b/crates/route/src/row.rs
@@ -110,13 +110,12 @@
         }
     }
 
-    /// Returns the weight of the last report, and the reported load with the
+    /// Returns the weight of the last report, and the reported load minus the
     /// prompt backlog processed since.
     ///
-    /// The weight decays with the turnover of requests, which is the time that
-    /// they occupy a slot, and faster because all entries fill the slots that
-    /// were reported as free. The backlog shrinks at the known rate of prompt
-    /// processing.
+    /// Requests turn over within their service time, so the weight decays at that
+    /// rate, and faster because all entries fill the slots that were reported as
+    /// free. The backlog shrinks at the known rate of prompt processing.
     pub(crate) fn decayed_report(
         &self,
         options: &Options,
--- a/crates/throttle/src/allotment.rs
+++ b/crates/throttle/src/allotment.rs
@@ -5,7 +5,7 @@
 //! therefore divided among the first entries in the endpoint's rendezvous order, its holders,
 //! whose number depends on the endpoint's [`Tolerance`]. Entries agree on the holders without
 //! messages because they have the same list of entries. While the lists differ, additional
-//! entries may use an allotment, for which [`SPARE_HOLDERS`] leaves a margin.
+//! entries may use an allotment, for which `SPARE_HOLDERS` leaves a margin.
 
 use std::time::Duration;
 
