--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -7,9 +7,9 @@
 use cactusnotch_derive::message;
 use cactusnotch_position::Position;
 
-use crate::content::Content;
-use crate::endpoint::Born;
-use crate::{Endpoint, Pace};
+use crate::content::Fingerprint;
+use crate::endpoint::StartTime;
+use crate::{Endpoint, Slowdown};
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::limits::Report;
 
@@ -19,7 +19,7 @@
     /// Where the endpoint takes requests.
     pub endpoint: SocketAddr,
     /// When it started, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The requests that run or wait there.
     pub requests: u32,
     /// Whether its group of ranks can take requests.
@@ -30,7 +30,7 @@
     /// The part of the memory for prompts that is in use, in thousandths.
     pub memory: u16,
     /// How slow the endpoint is.
-    pub pace: Pace,
+    pub pace: Slowdown,
 }
 
 /// An entry as it makes itself known to others.
@@ -70,9 +70,9 @@
     /// An endpoint ended under a request.
     Crash(Crash),
     /// An entry holds a request.
-    Held(Held),
+    Held(Quarantined),
     /// A request was served whole that others may suspect or hold.
-    Served(Content),
+    Served(Fingerprint),
     /// What an entry knows of endpoints' limits.
     Limits(Vec<Limit>),
 }
@@ -81,7 +81,7 @@
 #[message]
 pub struct Crash {
     /// What all attempts of the request have in common.
-    pub content: Content,
+    pub content: Fingerprint,
     /// The life of the endpoint.
     pub endpoint: String,
     /// How long ago the request was sent there, in milliseconds.
@@ -92,9 +92,9 @@
 
 /// A request that an entry keeps from endpoints.
 #[message]
-pub struct Held {
+pub struct Quarantined {
     /// What all attempts of the request have in common.
-    pub content: Content,
+    pub content: Fingerprint,
     /// How long it is held still, in milliseconds.
     pub left: u32,
 }
@@ -113,7 +113,7 @@
 
 impl Limit {
     /// Returns what it says, or `None` if its rate is no rate.
-    pub(crate) fn word(&self, now: Instant) -> Option<Report> {
+    pub(crate) fn report(&self, now: Instant) -> Option<Report> {
         let limit = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
             None => None,
--- a/crates/rebalance/src/state.rs
+++ b/crates/rebalance/src/state.rs
@@ -2,9 +2,9 @@
 
 use cactusnotch_derive::{message, record};
 
-use cactusnotch_gateway::endpoint::Born;
+use cactusnotch_gateway::endpoint::StartTime;
 
-use crate::Pace;
+use crate::Slowdown;
 
 /// A rank of a group, as its endpoint names it.
 #[message]
@@ -55,7 +55,7 @@
     /// The maps of this rank.
     pub maps: Maps,
     /// When the endpoint started, if it says so.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The number of orders that the endpoint has begun.
     pub sequence: u64,
     /// The requests that run.
@@ -63,7 +63,7 @@
     /// The requests that wait.
     pub waiting: u32,
     /// How slow the rank is.
-    pub pace: Pace,
+    pub pace: Slowdown,
     /// The part of the memory for prompts that is in use, in thousandths.
     pub memory: u16,
 }
