--- a/crates/gateway/src/fleet/cold.rs
+++ b/crates/gateway/src/fleet/cold.rs
@@ -85,7 +85,7 @@
                 rate = Rate::per_second(rate),
                 ms = millis(left),
                 source,
-                shared = self.cold.shares(instance),
+                shared = self.cold.is_holder(instance),
                 "endpoint is cold"
             );
             self.refresh_withheld(instance);
--- a/crates/gateway/src/fleet/exclusion.rs
+++ b/crates/gateway/src/fleet/exclusion.rs
@@ -90,11 +90,11 @@
                 Some(Exclusion::Resting) => exclusions.resting += 1,
                 Some(Exclusion::Limited) => {
                     exclusions.limited += 1;
-                    exclusions.shared += usize::from(self.limits.shares(instance));
+                    exclusions.shared += usize::from(self.limits.is_holder(instance));
                 }
                 Some(Exclusion::Cold) => {
                     exclusions.cold += 1;
-                    exclusions.shared += usize::from(self.cold.shares(instance));
+                    exclusions.shared += usize::from(self.cold.is_holder(instance));
                 }
                 Some(Exclusion::Leaving | Exclusion::Evacuated) | None => {}
             }
@@ -104,7 +104,7 @@
 
     /// Tells whether this entry shares the limit of an endpoint.
     pub(crate) fn shares_limit(&self, instance: &str) -> bool {
-        self.limits.shares(instance)
+        self.limits.is_holder(instance)
     }
 
     /// Returns how many endpoints have a limit.
