--- a/crates/placement/examples/traces/chart.rs
+++ b/crates/placement/examples/traces/chart.rs
@@ -13,7 +13,7 @@
 const COLUMNS: usize = 2;
 const ROWS: usize = 3;
 
-/// Draws one panel for each trace, with a point for each policy.
+/// Draws one panel per trace, with one point per policy.
 pub fn draw(path: &Path, summaries: &[Summary]) -> Result<(), Box<dyn Error>> {
     if let Some(folder) = path.parent() {
         std::fs::create_dir_all(folder)?;
@@ -36,7 +36,7 @@
 
 fn draw_panel(area: &Area, kind: Kind, runs: &[&Summary]) -> Result<(), Box<dyn Error>> {
     let moves = |run: &Summary| (run.moves as f64).max(1.0);
-    let skew = |run: &Summary| run.calm.at(0.99);
+    let skew = |run: &Summary| run.after_onset.at(0.99);
     let most = runs.iter().map(|run| moves(run)).fold(10.0, f64::max) * 2.0;
     let highest = runs.iter().map(|run| skew(run)).fold(1.2, f64::max) * 1.08;
     let mut chart = ChartBuilder::on(area)
--- a/crates/placement/examples/traces/effort.rs
+++ b/crates/placement/examples/traces/effort.rs
@@ -1,6 +1,7 @@
-//! The planner's CPU and memory by the number of ranks. It runs in one thread
-//! without waiting, so that the time it takes is the CPU it uses, or more on a
-//! busy machine.
+//! The CPU time and memory of the planner by the number of ranks.
+//!
+//! The planner runs in one thread without waiting, so its run time equals its
+//! CPU time, or exceeds it on a busy machine.
 
 use std::time::Duration;
 
@@ -15,9 +16,9 @@
 use crate::simulation::STEPS;
 use crate::trace::{Kind, RANKS, SEED, SHAPE, SPEED, Trace};
 
-/// The ranks of each group, and the experts of a layer that each rank holds.
+/// The number of ranks of each group, and the experts per layer of each rank.
 const GROUPS: [(u16, usize); 3] = [(16, 6), (64, 2), (256, 2)];
-/// The seconds of the trace that are run: those around the dispute wave.
+/// The seconds of the trace that are run, around the onset of the dispute wave.
 const SECONDS: std::ops::Range<u64> = 860..1_060;
 
 /// Prints the table.
@@ -29,9 +30,9 @@
     );
     println!("|---|---|---|---|---|---|---|---|---|");
     for (ranks, slots) in GROUPS {
-        let before = peak();
-        let run = Run::new(ranks, slots).go();
-        let grown = (peak() - before) as f64 / 1_024.0;
+        let before = peak_memory_kb();
+        let run = Run::new(ranks, slots).execute();
+        let grown = (peak_memory_kb() - before) as f64 / 1_024.0;
         println!("| {ranks} | {slots} | {} | {grown:.1} |", run.row());
     }
 }
@@ -50,7 +51,7 @@
     fn new(ranks: u16, slots: usize) -> Self {
         let options = Options::new(SHAPE, ranks, slots);
         let speeds = vec![SPEED; usize::from(ranks)];
-        let rates = Trace::new(Kind::Dispute, SEED).rates(0);
+        let rates = Trace::new(Kind::DisputeWave, SEED).rates(0);
         let record = || Histogram::new(3).expect("three digits are allowed");
         Self {
             planner: Planner::new(options),
@@ -63,8 +64,8 @@
         }
     }
 
-    fn go(mut self) -> Self {
-        let trace = Trace::new(Kind::Dispute, SEED);
+    fn execute(mut self) -> Self {
+        let trace = Trace::new(Kind::DisputeWave, SEED);
         let start = clock::now();
         let states = vec![State::Loaded; self.speeds.len()];
         let budget = Budget {
@@ -151,7 +152,7 @@
 }
 
 /// Returns the peak resident memory of the process in kilobytes.
-fn peak() -> u64 {
+fn peak_memory_kb() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|line| line.strip_prefix("VmHWM:"));
     let number = line.and_then(|line| line.split_whitespace().next());
--- a/crates/placement/examples/traces/main.rs
+++ b/crates/placement/examples/traces/main.rs
@@ -2,8 +2,8 @@
 //! skew and cost.
 //!
 //! `cargo run --release -p cactusnotch-placement --example traces` also writes
-//! the chart to `docs/charts/skew-cost.svg`. Names of traces, or `planner`, as
-//! arguments limit what is run, and then no chart is drawn.
+//! the chart to `docs/charts/skew-cost.svg`. Arguments name the traces to run,
+//! or `planner` for the planner's cost; with arguments, no chart is drawn.
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_precision_loss,
@@ -23,9 +23,9 @@
 use result::Summary;
 use trace::{SEED, Trace};
 
-/// The policies that run at once.
+/// The number of policies that run in parallel.
 const THREADS: usize = 4;
-/// The chart, from the root of the repository.
+/// The path of the chart.
 const CHART: &str = concat!(
     env!("CARGO_MANIFEST_DIR"),
     "/../../docs/charts/skew-cost.svg"
@@ -52,7 +52,7 @@
     Ok(())
 }
 
-/// Runs the policies on one trace, some at once.
+/// Runs all policies on one trace, [`THREADS`] at a time.
 fn run(trace: &Trace) -> Vec<Summary> {
     let mut summaries = Vec::new();
     for policies in Policy::ALL.chunks(THREADS) {
--- a/crates/placement/examples/traces/policy.rs
+++ b/crates/placement/examples/traces/policy.rs
@@ -1,4 +1,4 @@
-//! The policies that are compared.
+//! The placement policies that are compared.
 
 use std::time::Duration;
 
@@ -7,35 +7,35 @@
 
 use crate::trace::{RANKS, SHAPE, SLOTS};
 
-/// The time between two plans of a planner.
+/// The interval between two plans.
 pub const INTERVAL: Duration = Duration::from_secs(5);
-/// The time between two full packings, in seconds. Loading everything takes
-/// three minutes at the rate of the store.
+/// The interval between two full repacks in seconds. Loading all experts takes
+/// three minutes at the rate of the weight store.
 const REPACK: u64 = 300;
-/// The group's part of the weight store's rate, in bytes per second.
+/// The group's share of the weight store's rate, in bytes per second.
 pub const RATE: u64 = 1_000_000_000;
 
-/// A policy.
+/// A placement policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// Nothing is moved but what a failure makes necessary.
+    /// Moves experts only to restore lost replicas.
     Never,
-    /// Traffic is split anew, and nothing is moved without need.
+    /// Rebalances traffic, and moves experts only to restore lost replicas.
     Split,
-    /// Everything is packed anew from the latest rates each interval.
+    /// Repacks all experts from the latest rates in each interval.
     Repack,
-    /// Every move that makes a layer faster by the latest rates is made.
+    /// Makes every move that reduces a layer's step time at the latest rates.
     Greedy,
-    /// The planner with weights that put cost first (Arrieta).
+    /// The planner with weights that favour low cost.
     CostFirst,
-    /// The planner with even weights.
+    /// The planner with balanced weights.
     Balanced,
-    /// The planner with weights that put skew first (Palmetto).
+    /// The planner with weights that favour low skew.
     SkewFirst,
 }
 
 impl Policy {
-    /// All policies, in the order of the tables.
+    /// All policies, in the order of the result tables.
     pub const ALL: [Self; 7] = [
         Self::Never,
         Self::Split,
@@ -46,7 +46,7 @@
         Self::SkewFirst,
     ];
 
-    /// Returns the name in the tables.
+    /// Returns the name in the result tables.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Never => "never move",
@@ -59,9 +59,9 @@
         }
     }
 
-    /// Returns the weights that the policy plans with.
+    /// Returns the planner weights of the policy.
     fn weights(self) -> Weights {
-        let free = Weights {
+        let greedy = Weights {
             cost: 0.0,
             caution: 0.0,
             ..Weights::BALANCED
@@ -76,14 +76,15 @@
                 horizon: Duration::ZERO,
                 ..Weights::BALANCED
             },
-            Self::Greedy => free,
+            Self::Greedy => greedy,
             Self::CostFirst => Weights::COST_FIRST,
             Self::Balanced => Weights::BALANCED,
             Self::SkewFirst => Weights::SKEW_FIRST,
         }
     }
 
-    /// Returns the planner of the policy. Greedy knows the latest rates only.
+    /// Returns the planner of the policy. The greedy one uses only the latest
+    /// rates.
     pub fn planner(self) -> Planner {
         let mut options = Options::new(SHAPE, RANKS, SLOTS);
         if self == Self::Greedy {
@@ -93,9 +94,9 @@
         Planner::new(options)
     }
 
-    /// Returns what the policy does at `second`: the new map, how many loads
-    /// it takes, and whether the group must wait for them.
-    pub fn act(
+    /// Returns the decision of the policy at `second`: the new map, the rank of
+    /// each expert load, and whether the group must wait for the loads.
+    pub fn decide(
         self,
         planner: &mut Planner,
         map: &Map,
@@ -112,7 +113,7 @@
         };
         let plan = planner.plan(map, states, &self.weights(), &budget, now);
         if let Some(plan) = plan.expect("the group has slots for all experts") {
-            return Some(taken(&plan));
+            return Some(from_plan(&plan));
         }
         if self == Self::Repack && second.is_multiple_of(REPACK) && second > 0 {
             return Some(repack(planner, map, states));
@@ -121,8 +122,8 @@
     }
 }
 
-fn taken(plan: &Plan) -> (Map, Vec<u16>, bool) {
-    let loads = plan.moves.iter().map(|order| order.to.0).collect();
+fn from_plan(plan: &Plan) -> (Map, Vec<u16>, bool) {
+    let loads = plan.moves.iter().map(|next| next.to.0).collect();
     let map = plan.map().expect("a whole plan is valid");
     (map, loads, plan.required > 0)
 }
--- a/crates/placement/examples/traces/result.rs
+++ b/crates/placement/examples/traces/result.rs
@@ -1,4 +1,4 @@
-//! What a run measured.
+//! The measurements of a run.
 
 use hdrhistogram::Histogram;
 
@@ -8,73 +8,76 @@
 /// Ratios are recorded in units of 1 / [`UNIT`].
 const UNIT: f64 = 10_000.0;
 
-/// Percentiles of a ratio.
+/// The distribution of a ratio.
 #[derive(Debug, Clone)]
 pub struct Ratio(Histogram<u64>);
 
 impl Ratio {
-    /// Creates an empty record.
+    /// Creates an empty distribution.
     pub fn new() -> Self {
         Self(Histogram::new(4).expect("four digits are allowed"))
     }
 
-    /// Notes one second.
+    /// Records the ratio of one second.
     pub fn record(&mut self, ratio: f64) {
         self.0
             .record((ratio * UNIT) as u64)
             .expect("the histogram grows");
     }
 
-    /// Returns the value below which this part of the seconds lies.
+    /// Returns the value at this quantile of the seconds.
     pub fn at(&self, quantile: f64) -> f64 {
         self.0.value_at_quantile(quantile) as f64 / UNIT
     }
 
-    /// Adds another record.
+    /// Adds another distribution.
     pub fn add(&mut self, other: &Self) {
         self.0.add(&other.0).expect("the histogram grows");
     }
 }
 
-/// What a run measured.
+/// The measurements of a run.
 #[derive(Debug, Clone)]
 pub struct Summary {
     pub kind: Kind,
     pub policy: Policy,
-    /// The slowest rank's time over that of perfect balance, by layer.
+    /// The slowest rank's time over that of perfect balance, summed over the
+    /// layers.
     pub skew: Ratio,
-    /// The skew outside the first seconds after an onset.
-    pub calm: Ratio,
-    /// The skew later than [`SETTLED`](crate::simulation::SETTLED) seconds
+    /// The skew later than [`ONSET_SECONDS`](crate::simulation::ONSET_SECONDS)
     /// after an onset.
+    pub after_onset: Ratio,
+    /// The skew later than
+    /// [`SETTLED_SECONDS`](crate::simulation::SETTLED_SECONDS) after an onset.
     pub settled: Ratio,
-    /// The skew over its lower bound, outside the first seconds.
-    pub over: Ratio,
+    /// The skew over its lower bound, in the same seconds as `after_onset`.
+    pub over_bound: Ratio,
     /// The lower bound on skew.
     pub bound: Ratio,
-    /// The busiest rank's time over the mean, summed over the layers first.
-    pub whole: Ratio,
+    /// The busiest rank's time over the mean, each summed over the layers.
+    pub step_skew: Ratio,
     pub moves: u64,
     pub bytes: u64,
-    /// Steps in which some rank loaded weights, or a switch held up the group.
+    /// The number of steps in which some rank loaded weights or a switch
+    /// stalled the group.
     pub disturbed: f64,
     pub switches: u64,
-    /// Seconds in which some expert had no live replica.
+    /// The number of seconds in which some expert had no live replica.
     pub stalled: u64,
 }
 
 impl Summary {
-    /// Creates the summary of a run that has not begun.
+    /// Creates an empty summary.
     pub fn new(kind: Kind, policy: Policy) -> Self {
         Self {
             kind,
             policy,
             skew: Ratio::new(),
-            calm: Ratio::new(),
+            after_onset: Ratio::new(),
             settled: Ratio::new(),
-            over: Ratio::new(),
+            over_bound: Ratio::new(),
             bound: Ratio::new(),
-            whole: Ratio::new(),
+            step_skew: Ratio::new(),
             moves: 0,
             bytes: 0,
             disturbed: 0.0,
@@ -86,11 +89,11 @@
     /// Adds another run of the same policy.
     pub fn add(&mut self, other: &Self) {
         self.skew.add(&other.skew);
-        self.calm.add(&other.calm);
+        self.after_onset.add(&other.after_onset);
         self.settled.add(&other.settled);
-        self.over.add(&other.over);
+        self.over_bound.add(&other.over_bound);
         self.bound.add(&other.bound);
-        self.whole.add(&other.whole);
+        self.step_skew.add(&other.step_skew);
         self.moves += other.moves;
         self.bytes += other.bytes;
         self.disturbed += other.disturbed;
--- a/crates/placement/examples/traces/table.rs
+++ b/crates/placement/examples/traces/table.rs
@@ -1,8 +1,8 @@
-//! Tables in Markdown.
+//! Result tables in Markdown.
 
 use crate::policy::Policy;
 use crate::result::Summary;
-use crate::simulation::{FIRST, SETTLED};
+use crate::simulation::{ONSET_SECONDS, SETTLED_SECONDS};
 use crate::trace::Kind;
 
 /// Prints the results of all policies on one trace.
@@ -27,7 +27,7 @@
 fn rows(title: &str, group: &[Summary]) {
     println!("\n### {title}\n");
     println!(
-        "| policy | skew p50 | p99 | p99 after {FIRST} s | p99 after {SETTLED} s | over bound p50 | over bound p99 | \
+        "| policy | skew p50 | p99 | p99 after {ONSET_SECONDS} s | p99 after {SETTLED_SECONDS} s | over bound p50 | over bound p99 | \
          step skew p99 | GB | moves | steps disturbed | switches | stalled s |"
     );
     println!("|---|---|---|---|---|---|---|---|---|---|---|---|---|");
@@ -37,11 +37,11 @@
             s.policy.name(),
             s.skew.at(0.5),
             s.skew.at(0.99),
-            s.calm.at(0.99),
+            s.after_onset.at(0.99),
             s.settled.at(0.99),
-            s.over.at(0.5),
-            s.over.at(0.99),
-            s.whole.at(0.99),
+            s.over_bound.at(0.5),
+            s.over_bound.at(0.99),
+            s.step_skew.at(0.99),
             s.bytes as f64 / 1e9,
             s.moves,
             s.disturbed,
--- a/crates/placement/examples/traces/trace.rs
+++ b/crates/placement/examples/traces/trace.rs
@@ -7,82 +7,84 @@
 
 /// The seed of all traces.
 pub const SEED: u64 = 6;
-/// The model of all traces.
+/// The shape of the model in all traces.
 pub const SHAPE: Shape = Shape {
     layers: 32,
     experts: 64,
 };
-/// The ranks of the group.
+/// The number of ranks of the group.
 pub const RANKS: u16 = 64;
-/// The experts of each layer that a rank holds.
+/// The number of experts per layer that a rank holds.
 pub const SLOTS: usize = 2;
-/// The seconds that a trace lasts.
+/// The duration of a trace in seconds.
 pub const SECONDS: u64 = 3_600;
-/// The tokens that all experts of a layer are given in a step.
+/// The tokens per step of all experts of a layer.
 pub const TOKENS: f64 = 256.0 * RANKS as f64;
-/// The tokens that a rank computes in a second.
+/// The speed of a rank in tokens per second.
 pub const SPEED: f64 = 2_000_000.0;
-/// The exponent by which popularity falls with the place of an expert.
-const ZIPF: f64 = 0.5;
+/// The exponent by which popularity falls with the rank order of an expert.
+const ZIPF_EXPONENT: f64 = 0.5;
 
-/// What happens in a trace.
+/// The scenario of a trace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Kind {
     /// Popularity drifts with periods of one to three hours.
-    Season,
-    /// At 900 s three experts a layer grow sixfold within a second and shrink
-    /// again over 1,500 s; at 2,700 s others grow fivefold for 15 s only.
-    Dispute,
-    /// At 900 s, 1,500 s and 2,400 s attention swings within two minutes to
-    /// five other experts a layer, which grow eightfold.
-    Story,
-    /// From 600 s to 2,400 s one rank computes at 0.6 of its speed.
+    SeasonalDrift,
+    /// At 900 s the load of three experts per layer grows sixfold within a
+    /// second and decays over 1,500 s; at 2,700 s the load of two others grows
+    /// fivefold for 15 s.
+    DisputeWave,
+    /// At 900 s, 1,500 s and 2,400 s demand shifts within two minutes to five
+    /// other experts per layer, whose load grows eightfold.
+    BreakingStory,
+    /// From 600 s to 2,400 s one rank runs at 0.6 of its speed.
     SlowRank,
-    /// Ranks die at 600 s, 1,200 s (two) and 2,400 s, and are replaced empty
-    /// after 60 s.
-    Deaths,
+    /// Ranks crash at 600 s, 1,200 s (two) and 2,400 s, and are replaced by
+    /// empty ones after 60 s.
+    Failures,
 }
 
 impl Kind {
     /// All kinds, in the order of the tables.
     pub const ALL: [Self; 5] = [
-        Self::Season,
-        Self::Dispute,
-        Self::Story,
+        Self::SeasonalDrift,
+        Self::DisputeWave,
+        Self::BreakingStory,
         Self::SlowRank,
-        Self::Deaths,
+        Self::Failures,
     ];
 
     /// Returns the name in the tables.
     pub const fn name(self) -> &'static str {
         match self {
-            Self::Season => "seasonal-drift",
-            Self::Dispute => "dispute-wave",
-            Self::Story => "breaking-story",
+            Self::SeasonalDrift => "seasonal-drift",
+            Self::DisputeWave => "dispute-wave",
+            Self::BreakingStory => "breaking-story",
             Self::SlowRank => "slow-rank",
-            Self::Deaths => "rank-deaths",
+            Self::Failures => "rank-deaths",
         }
     }
 }
 
-/// One change of the popularity of some experts.
+/// A temporary increase of the popularity of some experts.
 #[derive(Debug, Clone)]
-struct Swing {
+struct Surge {
     /// The factor by which popularity grows.
     factor: f64,
     start: f64,
-    /// The seconds until it has grown.
+    /// The seconds until the full factor is reached.
     rise: f64,
-    /// The seconds for which it stays.
+    /// The seconds for which the full factor lasts.
     stay: f64,
-    /// The seconds over which it shrinks by a factor of e.
+    /// The seconds in which the increase then decays by a factor of e.
     fall: f64,
     /// The experts of each layer.
     experts: Vec<Vec<usize>>,
 }
 
-impl Swing {
-    /// Returns how far the swing has gone at `time`, between zero and one.
+impl Surge {
+    /// Returns the fraction of the increase that is reached at `time`, between
+    /// zero and one.
     fn level(&self, time: f64) -> f64 {
         let since = time - self.start;
         if since <= 0.0 {
@@ -95,7 +97,7 @@
     }
 }
 
-/// A trace: the true rates at each second, and the faults.
+/// A trace: the true rates in each second, and the faults.
 #[derive(Debug, Clone)]
 pub struct Trace {
     pub kind: Kind,
@@ -103,15 +105,19 @@
     base: Vec<f64>,
     /// The amplitude, period and phase of each expert's drift.
     drift: Vec<[f64; 3]>,
-    swings: Vec<Swing>,
+    surges: Vec<Surge>,
 }
 
 impl Trace {
-    /// Makes the trace of `kind` from `seed`.
+    /// Generates the trace of `kind` from `seed`.
     pub fn new(kind: Kind, seed: u64) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let base = (0..SHAPE.layers).flat_map(|_| zipf(&mut rng)).collect();
-        let amplitude = if kind == Kind::Season { 0.8 } else { 0.1 };
+        let amplitude = if kind == Kind::SeasonalDrift {
+            0.8
+        } else {
+            0.1
+        };
         let drift = (0..SHAPE.cells())
             .map(|_| {
                 let period = rng.random_range(3_600.0..10_800.0);
@@ -122,13 +128,13 @@
                 ]
             })
             .collect();
-        let swings = swings(kind, &mut rng);
+        let surges = surges(kind, &mut rng);
         Self {
             kind,
             seed,
             base,
             drift,
-            swings,
+            surges,
         }
     }
 
@@ -144,9 +150,9 @@
             .zip(&self.drift)
             .map(|(b, d)| b * wave(d))
             .collect();
-        for swing in &self.swings {
-            let growth = 1.0 + (swing.factor - 1.0) * swing.level(time);
-            for (layer, experts) in (0..).zip(&swing.experts) {
+        for surge in &self.surges {
+            let growth = 1.0 + (surge.factor - 1.0) * surge.level(time);
+            for (layer, experts) in (0..).zip(&surge.experts) {
                 let start = SHAPE.layer(layer).start;
                 for expert in experts {
                     rates[start + expert] *= growth;
@@ -172,11 +178,11 @@
         speeds
     }
 
-    /// Returns the ranks that die, with the second in which each dies and the
-    /// one in which it is replaced.
-    pub fn deaths(&self) -> &'static [(usize, u64, u64)] {
+    /// Returns the ranks that crash, with the second in which each crashes and
+    /// the one in which it is replaced.
+    pub fn failures(&self) -> &'static [(usize, u64, u64)] {
         match self.kind {
-            Kind::Deaths => &[
+            Kind::Failures => &[
                 (3, 600, 660),
                 (20, 1_200, 1_260),
                 (41, 1_200, 1_260),
@@ -189,25 +195,25 @@
     /// Returns the seconds in which a burst, a slowdown or a failure begins.
     pub fn onsets(&self) -> &'static [u64] {
         match self.kind {
-            Kind::Season => &[],
-            Kind::Dispute => &[900, 2_700],
-            Kind::Story => &[900, 1_500, 2_400],
+            Kind::SeasonalDrift => &[],
+            Kind::DisputeWave => &[900, 2_700],
+            Kind::BreakingStory => &[900, 1_500, 2_400],
             Kind::SlowRank => &[600, 2_400],
-            Kind::Deaths => &[600, 660, 1_200, 1_260, 2_400, 2_460],
+            Kind::Failures => &[600, 660, 1_200, 1_260, 2_400, 2_460],
         }
     }
 }
 
 fn zipf(rng: &mut StdRng) -> Vec<f64> {
     let mut rates: Vec<f64> = (1..=SHAPE.experts)
-        .map(|n| f64::from(n).powf(-ZIPF))
+        .map(|n| f64::from(n).powf(-ZIPF_EXPONENT))
         .collect();
     rates.shuffle(rng);
     rates
 }
 
-fn swings(kind: Kind, rng: &mut StdRng) -> Vec<Swing> {
-    let mut swing = |count: usize, factor, start, rise, stay, fall| {
+fn surges(kind: Kind, rng: &mut StdRng) -> Vec<Surge> {
+    let mut surge = |count: usize, factor, start, rise, stay, fall| {
         let mut experts = Vec::new();
         for _ in 0..SHAPE.layers {
             let mut all: Vec<usize> = (0..usize::from(SHAPE.experts)).collect();
@@ -215,7 +221,7 @@
             all.truncate(count);
             experts.push(all);
         }
-        Swing {
+        Surge {
             factor,
             start,
             rise,
@@ -225,15 +231,15 @@
         }
     };
     match kind {
-        Kind::Dispute => vec![
-            swing(3, 6.0, 900.0, 1.0, 0.0, 1_500.0),
-            swing(2, 5.0, 2_700.0, 1.0, 15.0, 1.0),
+        Kind::DisputeWave => vec![
+            surge(3, 6.0, 900.0, 1.0, 0.0, 1_500.0),
+            surge(2, 5.0, 2_700.0, 1.0, 15.0, 1.0),
         ],
-        Kind::Story => vec![
-            swing(5, 8.0, 900.0, 120.0, 480.0, 60.0),
-            swing(5, 8.0, 1_500.0, 120.0, 780.0, 60.0),
-            swing(5, 8.0, 2_400.0, 120.0, 2_000.0, 60.0),
+        Kind::BreakingStory => vec![
+            surge(5, 8.0, 900.0, 120.0, 480.0, 60.0),
+            surge(5, 8.0, 1_500.0, 120.0, 780.0, 60.0),
+            surge(5, 8.0, 2_400.0, 120.0, 2_000.0, 60.0),
         ],
-        Kind::Season | Kind::SlowRank | Kind::Deaths => Vec::new(),
+        Kind::SeasonalDrift | Kind::SlowRank | Kind::Failures => Vec::new(),
     }
 }
--- a/crates/placement/src/budget.rs
+++ b/crates/placement/src/budget.rs
@@ -1,21 +1,22 @@
-//! What a plan may take from the weight store.
+//! The weight-store budget of a plan.
 
 use std::time::Duration;
 
 use cactusnotch_derive::message;
 
-/// What a plan may take from the weight store, which all groups share.
+/// The share of the weight store's bandwidth that one plan may use. All groups
+/// load from the same store.
 #[message]
 #[derive(Copy, Eq)]
 pub struct Budget {
-    /// The group's part of the store's rate, in bytes per second.
+    /// The group's share of the store's rate, in bytes per second.
     pub rate: u64,
     /// The time until the next plan.
     pub interval: Duration,
 }
 
 impl Budget {
-    /// Returns how many loads of `bytes` fit into the interval.
+    /// Returns how many loads of `bytes` each fit into the interval.
     #[must_use]
     pub fn max_loads(&self, bytes: u64) -> usize {
         let total = u128::from(self.rate) * self.interval.as_millis() / 1_000;
--- a/crates/placement/src/bundle.rs
+++ b/crates/placement/src/bundle.rs
@@ -1,46 +1,47 @@
-//! The moves of one layer that pay back together.
+//! The moves of one layer, valued together.
 
 use crate::forecast::Forecast;
 use crate::layer::Layer;
-use crate::search::{self, Ranks, Step};
+use crate::search::{self, LayerMove, Ranks};
 
-/// What seconds saved and spent are worth to the group.
+/// The value of saved step time and the cost of moves, in one unit.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Terms {
-    /// What one unit of a layer's step time, saved for one second, is worth.
+pub(crate) struct CostModel {
+    /// The value of one unit of a layer's step time, saved for one second.
     pub(crate) saving: f64,
-    /// What one move costs.
+    /// The cost of one move.
     pub(crate) cost: f64,
-    /// The seconds for which the near loads are expected.
+    /// The seconds for which the near loads are expected to last.
     pub(crate) near: f64,
-    /// The seconds after that for which the far loads are expected.
+    /// The seconds after `near` for which the far loads are expected to last.
     pub(crate) far: f64,
-    /// The standard deviations that a saving must exceed.
+    /// The number of standard deviations that a saving must exceed.
     pub(crate) caution: f64,
 }
 
-/// The moves of one layer in order, and what the first of them are worth.
+/// The moves of one layer in order, with the net value of each prefix.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Bundle {
     pub(crate) layer: u16,
-    pub(crate) steps: Vec<Step>,
-    terms: Terms,
-    /// The value less the cost of the first moves, for one move, two, ...
+    pub(crate) moves: Vec<LayerMove>,
+    model: CostModel,
+    /// The value less the cost of the first one, two, ... moves.
     values: Vec<f64>,
 }
 
 impl Bundle {
     /// Creates a bundle without moves.
-    pub(crate) fn new(layer: u16, terms: Terms) -> Self {
+    pub(crate) fn new(layer: u16, model: CostModel) -> Self {
         Self {
             layer,
-            steps: Vec::new(),
-            terms,
+            moves: Vec::new(),
+            model,
             values: Vec::new(),
         }
     }
 
-    /// Searches moves, up to a limit, until the layer is as fast as a target.
+    /// Searches for moves until the layer's step time reaches the target or the
+    /// limit on moves is reached. Stops early if `effort` is used up.
     pub(crate) fn search(
         &mut self,
         layer: &Layer,
@@ -51,67 +52,70 @@
     ) {
         let near = layer.slowest();
         let far = self.far(layer, forecast, ranks);
-        if !self.hopeful(near - target, far) {
+        if !self.can_pay_back(near - target, far) {
             return;
         }
         let mut current = layer.clone();
-        while self.steps.len() < limit && current.slowest() > target {
-            let Some((step, after)) = search::next(&current, ranks, effort) else {
+        while self.moves.len() < limit && current.slowest() > target {
+            let Some((layer_move, after)) = search::best_move(&current, ranks, effort) else {
                 break;
             };
-            self.steps.push(step);
-            let noise = self.terms.caution * self.noise(&after, forecast, ranks);
+            self.moves.push(layer_move);
+            let noise = self.model.caution * self.noise(&after, forecast, ranks);
             let saved = near - after.slowest() - noise;
-            let eventual = far - self.far(&after, forecast, ranks);
-            self.values.push(self.value(saved, eventual));
+            let far_saved = far - self.far(&after, forecast, ranks);
+            self.values.push(self.value(saved, far_saved));
             current = after;
         }
     }
 
-    /// Returns the slowest rank's time under the far loads, or zero if none are
-    /// expected.
+    /// Returns the slowest rank's time under the far loads, or zero if the far
+    /// period is empty.
     fn far(&self, layer: &Layer, forecast: &Forecast, ranks: Ranks) -> f64 {
-        if self.terms.far > 0.0 {
-            layer.under(&forecast.far, ranks.speeds).slowest()
+        if self.model.far > 0.0 {
+            layer.with_loads(&forecast.far, ranks.speeds).slowest()
         } else {
             0.0
         }
     }
 
-    /// Tells whether a single move could pay back if it saved all that can be
-    /// saved.
-    fn hopeful(&self, near: f64, far: f64) -> bool {
-        let terms = &self.terms;
-        terms.saving * (near * terms.near + far * terms.far) > terms.cost
+    /// Returns whether a single move would pay back if it removed all step time
+    /// above the target now and all of it later.
+    fn can_pay_back(&self, near: f64, far: f64) -> bool {
+        let model = &self.model;
+        model.saving * (near * model.near + far * model.far) > model.cost
     }
 
-    /// Returns the worth of the moves if they save so much of the layer's step
-    /// time now and later. Moves that would slow the layer later can be undone,
-    /// which costs as much again.
+    /// Returns the net value of the moves if they save the given step time now
+    /// (`saved`) and later (`far_saved`). The loss of moves that slow the layer
+    /// later is limited to the cost of the moves, as that is the cost of
+    /// undoing them.
     #[expect(clippy::cast_precision_loss, reason = "a bundle has few moves")]
-    fn value(&self, saved: f64, eventual: f64) -> f64 {
-        let terms = &self.terms;
-        let cost = terms.cost * self.steps.len() as f64;
-        let eventual = (terms.saving * eventual * terms.far).max(-cost);
-        terms.saving * saved.max(0.0) * terms.near + eventual - cost
+    fn value(&self, saved: f64, far_saved: f64) -> f64 {
+        let model = &self.model;
+        let cost = model.cost * self.moves.len() as f64;
+        let far_saved = (model.saving * far_saved * model.far).max(-cost);
+        model.saving * saved.max(0.0) * model.near + far_saved - cost
     }
 
-    /// Returns the standard deviation of the time that the most uncertain of
-    /// the moved experts takes on each of its ranks.
+    /// Returns the standard deviation of the busy time per rank of the moved
+    /// expert whose load is the least certain.
     fn noise(&self, layer: &Layer, forecast: &Forecast, ranks: Ranks) -> f64 {
-        let each = |step: &Step| {
-            let expert = usize::from(step.expert);
-            let parts = layer.rows[expert].iter();
-            let speed: f64 = parts.map(|part| ranks.speeds[part.at()]).sum();
+        let deviation_of = |layer_move: &LayerMove| {
+            let expert = usize::from(layer_move.expert);
+            let assignments = layer.rows[expert].iter();
+            let speed: f64 = assignments
+                .map(|assignment| ranks.speeds[assignment.index()])
+                .sum();
             forecast.deviation[expert] / speed
         };
-        self.steps.iter().map(each).fold(0.0, f64::max)
+        self.moves.iter().map(deviation_of).fold(0.0, f64::max)
     }
 
-    /// Returns the number of moves, up to `most`, that are worth the most, and
-    /// their worth; zero moves if none pays back.
-    pub(crate) fn best(&self, most: usize) -> (usize, f64) {
-        let values = (1..).zip(&self.values).take(most);
+    /// Returns the number of moves, up to `limit`, with the highest net value,
+    /// and that value; zero moves if none pays back.
+    pub(crate) fn best(&self, limit: usize) -> (usize, f64) {
+        let values = (1..).zip(&self.values).take(limit);
         values.fold(
             (0, 0.0),
             |best, (count, &value)| {
@@ -120,9 +124,9 @@
         )
     }
 
-    /// Returns the worth of the best number of moves, for each of them.
+    /// Returns the value per move of the best number of moves.
     #[expect(clippy::cast_precision_loss, reason = "a bundle has few moves")]
-    pub(crate) fn density(&self) -> f64 {
+    pub(crate) fn value_per_move(&self) -> f64 {
         let (count, value) = self.best(usize::MAX);
         if count == 0 {
             0.0
--- a/crates/placement/src/draft.rs
+++ b/crates/placement/src/draft.rs
@@ -1,4 +1,4 @@
-//! The layers that a plan is made from.
+//! The working state of a plan under construction.
 
 use cactusnotch_popularity::{Cell, Popularity, Rank};
 
@@ -10,16 +10,17 @@
 use crate::options::Options;
 use crate::replica::Replica;
 use crate::restore;
-use crate::search::{Ranks, Step};
+use crate::search::{LayerMove, Ranks};
 use crate::state::State;
 
-/// The layers that a plan is made from, and the moves made in them so far.
+/// A plan under construction: working copies of the layers and the moves
+/// applied to them so far.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Draft {
     slots: usize,
-    /// Tokens per second of each rank.
+    /// The speed of each rank in tokens per second.
     pub(crate) speeds: Vec<f64>,
-    /// Whether each rank can be given experts.
+    /// Whether each rank can hold experts.
     pub(crate) usable: Vec<bool>,
     pub(crate) forecasts: Vec<Forecast>,
     pub(crate) layers: Vec<Layer>,
@@ -31,7 +32,7 @@
 }
 
 impl Draft {
-    /// Copies `current` without the replicas that the states say are lost.
+    /// Copies `current` without the replicas on ranks that are not loaded.
     pub(crate) fn new(
         options: &Options,
         popularity: &Popularity,
@@ -54,20 +55,20 @@
             forecasts,
         };
         let rows: Vec<&[Replica]> = current.cells().map(|(_, row)| row).collect();
-        let holds = |rank: Rank| states[rank.index()] == State::Loaded;
+        let is_loaded = |rank: Rank| states[rank.index()] == State::Loaded;
         for (rows, forecast) in rows
             .chunks(usize::from(shape.experts))
             .zip(&draft.forecasts)
         {
             let loads = forecast.near.clone();
-            let layer = Layer::new(rows.iter().copied(), loads, &draft.speeds, holds);
+            let layer = Layer::new(rows.iter().copied(), loads, &draft.speeds, is_loaded);
             draft.layers.push(layer);
         }
-        draft.measure();
+        draft.compute_bounds();
         draft
     }
 
-    fn measure(&mut self) {
+    fn compute_bounds(&mut self) {
         let speeds: Vec<f64> = self
             .speeds
             .iter()
@@ -97,47 +98,47 @@
         self.bounds.iter().sum::<f64>() / self.ideal
     }
 
-    /// Splits the traffic of all layers anew.
+    /// Rebalances the traffic of all layers over their replicas.
     pub(crate) fn balance(&mut self) {
         for layer in &mut self.layers {
             layer.balance(&self.speeds);
         }
     }
 
-    /// Makes the moves that the experts of `layer` need for a replica each;
-    /// returns `None` if there are too few slots.
+    /// Adds the moves that give every expert of `layer` a replica. Returns
+    /// `None` if there are too few slots.
     pub(crate) fn restore(&mut self, layer: u16) -> Option<()> {
-        let at = usize::from(layer);
+        let index = usize::from(layer);
         let ranks = Ranks {
             speeds: &self.speeds,
             usable: &self.usable,
             slots: self.slots,
         };
-        let steps = restore::restore(&mut self.layers[at], ranks)?;
-        self.record(layer, &steps);
+        let moves = restore::restore(&mut self.layers[index], ranks)?;
+        self.record(layer, &moves);
         Some(())
     }
 
-    /// Makes `steps` in `layer`.
-    pub(crate) fn make(&mut self, layer: u16, steps: &[Step]) {
-        for step in steps {
-            step.apply(&mut self.layers[usize::from(layer)], &self.speeds);
+    /// Applies `moves` to `layer` and records them.
+    pub(crate) fn apply(&mut self, layer: u16, moves: &[LayerMove]) {
+        for layer_move in moves {
+            layer_move.apply(&mut self.layers[usize::from(layer)], &self.speeds);
         }
-        self.record(layer, steps);
+        self.record(layer, moves);
     }
 
-    fn record(&mut self, layer: u16, steps: &[Step]) {
-        self.moves.extend(steps.iter().map(|step| Move {
+    fn record(&mut self, layer: u16, moves: &[LayerMove]) {
+        self.moves.extend(moves.iter().map(|layer_move| Move {
             cell: Cell {
                 layer,
-                expert: step.expert,
+                expert: layer_move.expert,
             },
-            to: Rank(step.rank),
-            evict: step.evict,
+            to: Rank(layer_move.rank),
+            evict: layer_move.evict,
         }));
     }
 
-    /// Returns the ranks that may be given experts.
+    /// Returns the ranks with their speeds, usability and slots.
     pub(crate) fn ranks(&self) -> Ranks<'_> {
         Ranks {
             speeds: &self.speeds,
--- a/crates/placement/src/forecast.rs
+++ b/crates/placement/src/forecast.rs
@@ -1,27 +1,27 @@
-//! The loads that a plan is made for.
+//! The expected loads of a layer.
 
 use cactusnotch_base::number::Step;
 use cactusnotch_popularity::{Cell, Estimate, Popularity, Shape};
 
-/// The least load of an expert, as a part of the mean of its layer.
-const LEAST: f64 = 1e-3;
+/// The minimum load of an expert, as a fraction of the mean of its layer.
+const MIN_LOAD_RATIO: f64 = 1e-3;
 
-/// The loads of one layer on both time scales, in tokens per step.
+/// The expected loads of one layer on two time scales, in tokens per step.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct Forecast {
-    /// The loads of the next seconds.
+    /// The loads expected in the next seconds.
     pub(crate) near: Vec<f64>,
-    /// The loads after the bursts of today have passed.
+    /// The loads expected after the present bursts have ended.
     pub(crate) far: Vec<f64>,
     /// The standard deviation of `near`.
     pub(crate) deviation: Vec<f64>,
-    /// The steps for which the oldest burst of the layer has lasted.
+    /// The age in steps of the oldest burst in the layer.
     pub(crate) burst: Option<u64>,
 }
 
 impl Forecast {
-    /// Reads the forecast of `layer` from the estimates. An expert of which
-    /// nothing has been counted is given the mean of the layer.
+    /// Derives the forecast of `layer` from the estimates. An expert without
+    /// any counts is assigned the mean load of the layer.
     pub(crate) fn new(popularity: &Popularity, shape: Shape, layer: u16) -> Self {
         let mean = popularity.mean(layer);
         let mean = if mean > 0.0 { mean } else { 1.0 };
@@ -34,17 +34,17 @@
         };
         for expert in 0..shape.experts {
             match popularity.rate(Cell { layer, expert }) {
-                Some(estimate) => forecast.push(&estimate, mean * LEAST, popularity.now()),
+                Some(estimate) => forecast.push(&estimate, mean * MIN_LOAD_RATIO, popularity.now()),
                 None => forecast.push_unknown(mean),
             }
         }
         forecast
     }
 
-    fn push(&mut self, estimate: &Estimate, least: f64, now: Step) {
-        let near = estimate.rate().max(least);
+    fn push(&mut self, estimate: &Estimate, min_load: f64, now: Step) {
+        let near = estimate.rate().max(min_load);
         let age = estimate.age(now);
-        let far = age.map_or(near, |_| estimate.slow.max(least));
+        let far = age.map_or(near, |_| estimate.slow.max(min_load));
         self.near.push(near);
         self.far.push(far);
         self.deviation.push(estimate.deviation());
--- a/crates/placement/src/improve.rs
+++ b/crates/placement/src/improve.rs
@@ -1,77 +1,79 @@
-//! Moves that make the group faster by more than they cost.
+//! Moves whose gain in step time exceeds their cost.
 
 use std::time::Duration;
 
 use crate::budget::Budget;
-use crate::bundle::{Bundle, Terms};
+use crate::bundle::{Bundle, CostModel};
 use crate::draft::Draft;
 use crate::forecast::Forecast;
 use crate::options::Options;
-use crate::search::Step;
+use crate::search::LayerMove;
 use crate::weights::Weights;
 
-/// The most moves that are sought in one layer for one plan.
-const LAYER_MOVES: usize = 6;
+/// The maximum number of moves in one layer per plan.
+const MAX_LAYER_MOVES: usize = 6;
 
-/// Adds the moves that pay back, the worthiest for each byte first, as long as
-/// the budget and the memory of the ranks allow. Returns what they are worth.
+/// Adds the moves that pay back, those with the highest value per move first,
+/// within the load budget and the staging memory of the ranks. Returns their
+/// total value.
 pub(crate) fn improve(
     draft: &mut Draft,
     options: &Options,
     weights: &Weights,
     budget: &Budget,
 ) -> f64 {
-    let mut left = budget
+    let mut remaining = budget
         .max_loads(options.bytes)
         .saturating_sub(draft.moves.len());
-    let mut bundles = search(draft, options, weights, budget, left);
+    let mut bundles = search(draft, options, weights, budget, remaining);
     bundles.sort_by(|a, b| {
-        b.density()
-            .total_cmp(&a.density())
+        b.value_per_move()
+            .total_cmp(&a.value_per_move())
             .then(a.layer.cmp(&b.layer))
     });
     let mut room = vec![options.staging; draft.speeds.len()];
-    let mut worth = 0.0;
+    let mut total_value = 0.0;
     for bundle in bundles {
-        let most = left.min(admitted(&bundle.steps, &mut room.clone()));
-        let (count, value) = bundle.best(most);
-        let steps = &bundle.steps[..count];
-        admitted(steps, &mut room);
-        draft.make(bundle.layer, steps);
-        left -= count;
-        worth += value;
+        let limit = remaining.min(reserve_staging(&bundle.moves, &mut room.clone()));
+        let (count, value) = bundle.best(limit);
+        let moves = &bundle.moves[..count];
+        reserve_staging(moves, &mut room);
+        draft.apply(bundle.layer, moves);
+        remaining -= count;
+        total_value += value;
     }
-    worth
+    total_value
 }
 
-/// Searches a bundle for each layer, those farthest from their bound first.
+/// Searches for a bundle in each layer, those farthest above their lower bound
+/// first, because all layers share one limit on effort.
 fn search(
     draft: &Draft,
     options: &Options,
     weights: &Weights,
     budget: &Budget,
-    left: usize,
+    remaining: usize,
 ) -> Vec<Bundle> {
     let mut effort = options.effort;
-    let excess = |at: usize| draft.layers[at].slowest() - draft.bounds[at];
+    let excess = |index: usize| draft.layers[index].slowest() - draft.bounds[index];
     let mut order: Vec<u16> = (0..options.shape.layers).collect();
     order.sort_by(|&a, &b| {
         let (a, b) = (usize::from(a), usize::from(b));
         excess(b).total_cmp(&excess(a)).then(a.cmp(&b))
     });
-    let limit = left.min(LAYER_MOVES);
+    let limit = remaining.min(MAX_LAYER_MOVES);
     let mut bundles = Vec::new();
     for layer in order {
-        let at = usize::from(layer);
-        let forecast = &draft.forecasts[at];
-        if young(forecast, options, weights) {
+        let index = usize::from(layer);
+        let forecast = &draft.forecasts[index];
+        if has_short_burst(forecast, options, weights) {
             continue;
         }
-        let terms = terms(draft, forecast, options, weights, budget);
-        let target = draft.bounds[at] * (1.0 + options.margin);
-        let mut bundle = Bundle::new(layer, terms);
+        let cost_model = cost_model(draft, forecast, options, weights, budget);
+        let target = draft.bounds[index] * (1.0 + options.margin);
+        let mut bundle = Bundle::new(layer, cost_model);
         bundle.search(
-            &draft.layers[at],
+            &draft.layers[index],
             forecast,
             draft.ranks(),
             (limit, target),
@@ -82,34 +84,34 @@
     bundles
 }
 
-/// Returns how many of the first steps the staging memory has room for, and
-/// takes that room.
-fn admitted(steps: &[Step], room: &mut [usize]) -> usize {
-    let fits = |step: &&Step| match room[usize::from(step.rank)].checked_sub(1) {
+/// Returns how many of the first moves fit into the staging memory, and reserves
+/// that memory.
+fn reserve_staging(moves: &[LayerMove], room: &mut [usize]) -> usize {
+    let reserve = |next: &&LayerMove| match room[usize::from(next.rank)].checked_sub(1) {
         Some(rest) => {
-            room[usize::from(step.rank)] = rest;
+            room[usize::from(next.rank)] = rest;
             true
         }
         None => false,
     };
-    steps.iter().take_while(fits).count()
+    moves.iter().take_while(reserve).count()
 }
 
-/// Returns what savings and moves are worth in a layer. A burst is expected to
-/// last as long again as it has lasted, and at least until the next plan.
-fn terms(
+/// Returns the cost model of a layer. A burst is expected to last for as long
+/// again as it has lasted so far, and at least until the next plan.
+fn cost_model(
     draft: &Draft,
     forecast: &Forecast,
     options: &Options,
     weights: &Weights,
     budget: &Budget,
-) -> Terms {
+) -> CostModel {
     let horizon = weights.horizon;
     let near = forecast.burst.map_or(horizon, |steps| {
-        let age = age(steps, options);
+        let age = burst_age(steps, options);
         age.max(budget.interval).min(horizon)
     });
-    Terms {
+    CostModel {
         saving: weights.skew / draft.slowest(),
         cost: weights.cost * budget.load_seconds(options.bytes),
         near: near.as_secs_f64(),
@@ -118,13 +120,13 @@
     }
 }
 
-/// Tells whether the layer has a burst that may be over soon.
-fn young(forecast: &Forecast, options: &Options, weights: &Weights) -> bool {
+/// Returns whether the oldest burst of the layer is too short to act on.
+fn has_short_burst(forecast: &Forecast, options: &Options, weights: &Weights) -> bool {
     let burst = forecast.burst;
-    burst.is_some_and(|steps| age(steps, options) < weights.patience)
+    burst.is_some_and(|steps| burst_age(steps, options) < weights.patience)
 }
 
-fn age(steps: u64, options: &Options) -> Duration {
+fn burst_age(steps: u64, options: &Options) -> Duration {
     let steps = u32::try_from(steps).unwrap_or(u32::MAX);
     options.step.saturating_mul(steps)
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,9 +1,8 @@
-//! Expert maps and the planner that decides replicas and places for hot
-//! experts.
+//! Expert maps and the planner that replicates and places experts by load.
 //!
-//! The planner does no I/O. A driver feeds it the reports of ranks, asks it
-//! for a plan every few seconds, loads the weights that the plan names and
-//! switches to the map that the plan gives for the moves that were made.
+//! The planner does no I/O. A driver passes it the reports of ranks, requests a
+//! plan every few seconds, loads the weights that the plan names and switches
+//! to the plan's map for the moves that were completed.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/placement/src/map.rs
+++ b/crates/placement/src/map.rs
@@ -8,15 +8,15 @@
 
 use crate::replica::Replica;
 
-/// Why a set of replicas is no expert map.
+/// Why rows of replicas do not form a valid expert map.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// The number of rows is not the number of cells of the shape.
-    #[display("the map has {rows} rows, {shape} need {}", shape.cells())]
+    /// The number of rows differs from the number of cells of the shape.
+    #[display("the map has {rows} rows, but {shape} need {}", shape.cells())]
     Rows {
-        /// The rows given.
+        /// The number of rows.
         rows: usize,
-        /// The shape stated.
+        /// The shape of the map.
         shape: Shape,
     },
     /// An expert has no replica.
@@ -25,14 +25,14 @@
         /// The expert.
         cell: Cell,
     },
-    /// An expert's replicas are not sorted by rank, or a rank stands twice.
+    /// An expert's replicas are not sorted by rank, or name a rank twice.
     #[display("the replicas of {cell} are not sorted by rank")]
     Order {
         /// The expert.
         cell: Cell,
     },
-    /// The shares of an expert's replicas do not add up to the whole.
-    #[display("the shares of {cell} add up to {sum}, not to {}", Share::WHOLE)]
+    /// The shares of an expert's replicas do not add up to [`Share::WHOLE`].
+    #[display("the shares of {cell} add up to {sum} instead of {}", Share::WHOLE)]
     Shares {
         /// The expert.
         cell: Cell,
@@ -40,7 +40,7 @@
         sum: u32,
     },
     /// A rank holds more experts of a layer than it has slots.
-    #[display("rank {rank} holds {held} experts of layer {layer} in {slots} slots")]
+    #[display("rank {rank} holds {held} experts of layer {layer} but has {slots} slots")]
     Slots {
         /// The rank.
         rank: Rank,
@@ -55,19 +55,19 @@
 
 /// Which ranks hold each expert of each layer, and how its traffic is split.
 ///
-/// Every expert has at least one replica, an expert's replicas stand on
-/// different ranks in rank order, and its shares add up to [`Share::WHOLE`].
-/// A map that does not hold to this cannot be built or deserialized.
+/// Every expert has at least one replica, the replicas of an expert are on
+/// distinct ranks in rank order, and their shares add up to [`Share::WHOLE`].
+/// A map that violates this cannot be built or deserialized.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(try_from = "Parts", into = "Parts")]
+#[serde(try_from = "Unchecked", into = "Unchecked")]
 pub struct Map {
     shape: Shape,
     rows: Vec<Vec<Replica>>,
 }
 
-/// The serialized form of a map, which has not been checked.
+/// The serialized form of a map, before validation.
 #[message]
-struct Parts {
+struct Unchecked {
     shape: Shape,
     rows: Vec<Vec<Replica>>,
 }
@@ -86,7 +86,8 @@
             let rows = map.rows.len();
             return Err(Error::Rows { rows, shape });
         }
-        map.cells().try_for_each(|(cell, row)| check(cell, row))?;
+        map.cells()
+            .try_for_each(|(cell, row)| check_row(cell, row))?;
         Ok(map)
     }
 
@@ -96,8 +97,8 @@
         self.shape
     }
 
-    /// Returns the replicas of an expert in rank order; there are none if the
-    /// model has no such expert.
+    /// Returns the replicas of an expert in rank order, or none if the model
+    /// has no such expert.
     #[must_use]
     pub fn replicas(&self, cell: Cell) -> &[Replica] {
         self.shape
@@ -124,14 +125,13 @@
             .map(|(cell, _)| cell)
     }
 
-    /// Tells whether `rank` holds the expert.
+    /// Returns whether `rank` holds the expert.
     #[must_use]
     pub fn holds(&self, rank: Rank, cell: Cell) -> bool {
         position(self.replicas(cell), rank).is_ok()
     }
 
-    /// Returns a number that two maps share only if they are the same, up to
-    /// collisions of a 64-bit hash. It does not depend on the host.
+    /// Returns a 64-bit hash of the content, which is the same on every host.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let mut hash = Xxh3::new();
@@ -175,15 +175,15 @@
     }
 }
 
-impl TryFrom<Parts> for Map {
+impl TryFrom<Unchecked> for Map {
     type Error = Error;
 
-    fn try_from(parts: Parts) -> Result<Self, Error> {
-        Self::new(parts.shape, parts.rows)
+    fn try_from(unchecked: Unchecked) -> Result<Self, Error> {
+        Self::new(unchecked.shape, unchecked.rows)
     }
 }
 
-impl From<Map> for Parts {
+impl From<Map> for Unchecked {
     fn from(map: Map) -> Self {
         let Map { shape, rows } = map;
         Self { shape, rows }
@@ -194,7 +194,7 @@
     row.binary_search_by_key(&rank, |replica| replica.rank)
 }
 
-fn check(cell: Cell, row: &[Replica]) -> Result<(), Error> {
+fn check_row(cell: Cell, row: &[Replica]) -> Result<(), Error> {
     if row.is_empty() {
         return Err(Error::Missing { cell });
     }
--- a/crates/placement/src/moves.rs
+++ b/crates/placement/src/moves.rs
@@ -1,10 +1,10 @@
-//! One order to load an expert.
+//! An instruction to load an expert.
 
 use cactusnotch_derive::number;
 use cactusnotch_popularity::{Cell, Rank};
 use derive_more::Display;
 
-/// One order to a rank to load an expert from the weight store.
+/// An instruction for a rank to load an expert from the weight store.
 #[number]
 #[derive(Display)]
 #[display("load {cell} on rank {to}")]
@@ -13,7 +13,7 @@
     pub cell: Cell,
     /// The rank that loads it.
     pub to: Rank,
-    /// The expert of the same layer that the rank gives up for it. It has
-    /// another replica when the move is made in the order of its plan.
+    /// The expert of the same layer that the rank evicts to free the slot.
+    /// Another replica of it exists if moves are made in the plan's order.
     pub evict: Option<u16>,
 }
--- a/crates/placement/src/options.rs
+++ b/crates/placement/src/options.rs
@@ -1,43 +1,45 @@
-//! What the planner knows of a group.
+//! The parameters of a group's planner.
 
 use std::time::Duration;
 
 use cactusnotch_derive::message;
 use cactusnotch_popularity::Shape;
 
-/// What the planner knows of a group.
+/// The parameters of a group's planner.
 #[message]
 #[derive(Copy)]
 pub struct Options {
     /// The layers and experts of the model.
     pub shape: Shape,
-    /// The ranks of the group, live or not.
+    /// The number of ranks of the group, live or not.
     pub ranks: u16,
-    /// The experts of each layer that a rank has memory for.
+    /// The number of experts per layer that a rank has memory for.
     pub slots: usize,
-    /// The experts that a rank can load, above its slots, before a switch
-    /// frees the memory of those they replace.
+    /// The number of experts that a rank can load beyond its slots before a
+    /// switch frees the memory of those they replace.
     pub staging: usize,
-    /// The size of an expert's weights.
+    /// The size of an expert's weights in bytes.
     pub bytes: u64,
-    /// How long a step takes, about.
+    /// The approximate duration of a step.
     pub step: Duration,
-    /// How long a switch to another map holds up the group.
+    /// How long a switch to another map stalls the group.
     pub switch: Duration,
-    /// The relative distance from the lower bound of a layer's step time at
-    /// which the planner looks for no more moves in it.
+    /// The relative distance above the lower bound of a layer's step time
+    /// within which the planner searches for no further moves.
     pub margin: f64,
-    /// The age of the newest report from which on nothing is moved for speed.
+    /// The maximum age of the newest report. With older reports, experts are
+    /// moved only to restore lost replicas.
     pub stale: Duration,
-    /// How many candidate moves a plan may try, which bounds its time.
+    /// The maximum number of candidate moves per plan, which bounds its run
+    /// time.
     pub effort: usize,
-    /// How popularity and speed are estimated.
+    /// The parameters of the popularity and speed estimates.
     pub popularity: cactusnotch_popularity::Options,
 }
 
 impl Options {
-    /// Returns options for a group of `ranks` ranks with `slots` experts of
-    /// each layer of `shape`, and usual values for the rest.
+    /// Returns options for a group of `ranks` ranks that hold `slots` experts of
+    /// each layer of `shape`, with default values for the rest.
     #[must_use]
     pub fn new(shape: Shape, ranks: u16, slots: usize) -> Self {
         Self {
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,4 +1,4 @@
-//! A plan: moves in order, and the map after each.
+//! A plan: an ordered list of moves, and the map after each.
 
 use cactusnotch_derive::message;
 use cactusnotch_popularity::Shape;
@@ -6,16 +6,16 @@
 use crate::layer::Layer;
 use crate::map::{self, Map};
 use crate::moves::Move;
-use crate::search::Step;
+use crate::search::LayerMove;
 
-/// What a plan is expected to bring. Skew is the time of the slowest rank over
+/// The predicted effect of a plan. Skew is the time of the slowest rank over
 /// that of perfect balance, summed over the layers.
 #[message]
 #[derive(Copy)]
 pub struct Prediction {
-    /// The skew under the current map on the ranks that can be used.
+    /// The skew under the current map on the usable ranks.
     pub before: f64,
-    /// The skew after traffic is split anew over the replicas there are.
+    /// The skew after traffic is rebalanced over the existing replicas.
     pub split: f64,
     /// The skew after all moves.
     pub after: f64,
@@ -25,15 +25,15 @@
     pub bytes: u64,
 }
 
-/// Moves in order, with the map after each of them.
+/// An ordered list of moves, with the map after each of them.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Plan {
     /// The moves, in the order in which they are to be made.
     pub moves: Vec<Move>,
-    /// How many of the first moves are needed for every expert to have a
-    /// replica on a usable rank. The group cannot run before they are made.
+    /// How many of the first moves are needed to give every expert a replica on
+    /// a usable rank. The group cannot run until they are made.
     pub required: usize,
-    /// What the plan is expected to bring.
+    /// The predicted effect of the plan.
     pub predicted: Prediction,
     pub(crate) shape: Shape,
     pub(crate) speeds: Vec<f64>,
@@ -50,29 +50,29 @@
         self.map_after(self.moves.len())
     }
 
-    /// Returns the map after the first `count` moves, with traffic split to
-    /// suit. Zero moves give the current replicas with a new split.
+    /// Returns the map after the first `count` moves, with traffic rebalanced.
+    /// With zero moves these are the current replicas with a new split.
     ///
     /// # Errors
     ///
     /// Returns an error if fewer than the required moves are made.
     pub fn map_after(&self, count: usize) -> Result<Map, map::Error> {
         let mut layers = self.layers.clone();
-        for order in self.moves.iter().take(count) {
-            let layer = &mut layers[usize::from(order.cell.layer)];
-            Step::from(*order).apply(layer, &self.speeds);
+        for next in self.moves.iter().take(count) {
+            let layer = &mut layers[usize::from(next.cell.layer)];
+            LayerMove::from(*next).apply(layer, &self.speeds);
         }
         let rows = layers.iter().flat_map(Layer::replicas).collect();
         Map::new(self.shape, rows)
     }
 }
 
-impl From<Move> for Step {
-    fn from(order: Move) -> Self {
+impl From<Move> for LayerMove {
+    fn from(next: Move) -> Self {
         Self {
-            expert: order.cell.expert,
-            rank: order.to.0,
-            evict: order.evict,
+            expert: next.cell.expert,
+            rank: next.to.0,
+            evict: next.evict,
         }
     }
 }
--- a/crates/placement/src/planner.rs
+++ b/crates/placement/src/planner.rs
@@ -13,53 +13,54 @@
 use crate::state::State;
 use crate::weights::Weights;
 
-/// Why no plan can be made.
+/// Why no plan can be computed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// The map is of another model.
-    #[display("the map has {found}, the group has {expected}")]
+    /// The map is for another model.
+    #[display("the map has {found}, but the group has {expected}")]
     Shape {
         /// The shape of the map.
         found: Shape,
         /// The shape that the planner was created for.
         expected: Shape,
     },
-    /// The list of states is not of the group.
+    /// The number of states differs from the number of ranks, or the map names
+    /// a rank outside the group.
     #[display("{found} rank states were given for {expected} ranks")]
     Ranks {
-        /// The states given.
+        /// The number of states.
         found: usize,
-        /// The ranks of the group.
+        /// The number of ranks of the group.
         expected: usize,
     },
-    /// The ranks that can be used have too few slots.
+    /// The usable ranks have too few slots.
     #[display("{usable} usable ranks have too few slots for all experts of layer {layer}")]
     Slots {
         /// The first layer that does not fit.
         layer: u16,
-        /// The ranks that can be used.
+        /// The number of usable ranks.
         usable: usize,
     },
 }
 
-/// The planner of one group: the estimates, and the rule by which experts are
-/// moved.
+/// The planner of one group: the popularity estimates and the policy by which
+/// experts are moved.
 #[derive(Debug, Clone)]
 pub struct Planner {
     options: Options,
     popularity: Popularity,
-    heard: Option<Instant>,
+    last_report: Option<Instant>,
 }
 
 impl Planner {
-    /// Creates the planner of a group of which nothing has been heard.
+    /// Creates the planner of a group without any reports yet.
     #[must_use]
     pub fn new(options: Options) -> Self {
         let popularity = Popularity::new(options.shape, options.ranks, options.popularity);
         Self {
             options,
             popularity,
-            heard: None,
+            last_report: None,
         }
     }
 
@@ -69,25 +70,24 @@
         &self.popularity
     }
 
-    /// Takes in a report that arrived at `now`.
+    /// Adds a report that arrived at `now`.
     ///
     /// # Errors
     ///
-    /// Returns why the report was not counted.
+    /// Returns an error if the report was not counted.
     pub fn observe(&mut self, report: &Report, now: Instant) -> Result<(), popularity::Error> {
         self.popularity.observe(report)?;
-        self.heard = Some(now);
+        self.last_report = Some(now);
         Ok(())
     }
 
-    /// Returns what to do about `current`, the map in force, or `None` if it
-    /// is best left alone. `states` has one entry for each rank. It is to be
-    /// called once each interval of `budget`, and not while a plan is under
-    /// way.
+    /// Returns a plan that changes `current`, the map in force, or `None` if no
+    /// change pays back. `states` has one entry for each rank. Call it once per
+    /// interval of `budget`, and not while another plan is being carried out.
     ///
     /// # Errors
     ///
-    /// Returns an error if the map or the states are of another group, or if
+    /// Returns an error if the map or the states are for another group, or if
     /// the usable ranks cannot hold all experts.
     pub fn plan(
         &mut self,
@@ -105,14 +105,14 @@
         let base = draft.layers.clone();
         let required = self.restore(&mut draft)?;
         let split = draft.skew();
-        let mut worth = weights.split(before, split, budget);
-        // The group stands still until the required moves are made, so that no
-        // other load may hold them up.
-        if required == 0 && self.fresh(now) {
-            worth += improve::improve(&mut draft, &self.options, weights, budget);
+        let mut value = weights.split(before, split, budget);
+        // The group is stalled until the required moves are made, so no other
+        // load may delay them.
+        if required == 0 && self.has_recent_report(now) {
+            value += improve::improve(&mut draft, &self.options, weights, budget);
         }
-        let forced = required > 0 || uses_lost(current, states);
-        if !forced && worth <= weights.cost * self.options.switch.as_secs_f64() {
+        let forced = required > 0 || uses_missing_replica(current, states);
+        if !forced && value <= weights.cost * self.options.switch.as_secs_f64() {
             return Ok(None);
         }
         let predicted = Prediction {
@@ -146,16 +146,16 @@
         Ok(())
     }
 
-    /// Tells whether the newest report is young enough to move anything for
+    /// Returns whether the newest report is recent enough to move experts for
     /// speed.
-    fn fresh(&self, now: Instant) -> bool {
-        let age = |heard| now.saturating_duration_since(heard);
-        self.heard
-            .is_some_and(|heard| age(heard) <= self.options.stale)
+    fn has_recent_report(&self, now: Instant) -> bool {
+        let age = |last_report| now.saturating_duration_since(last_report);
+        self.last_report
+            .is_some_and(|last_report| age(last_report) <= self.options.stale)
     }
 
-    /// Adds the moves that every expert needs for a replica, and returns how
-    /// many they are.
+    /// Adds the moves that give every expert a replica, and returns their
+    /// number.
     fn restore(&self, draft: &mut Draft) -> Result<usize, Error> {
         for layer in 0..self.options.shape.layers {
             let usable = draft.usable.iter().filter(|&&usable| usable).count();
@@ -165,8 +165,8 @@
     }
 }
 
-/// Tells whether the map names a rank that does not hold what it says.
-fn uses_lost(current: &Map, states: &[State]) -> bool {
+/// Returns whether the map names a rank that does not hold its experts.
+fn uses_missing_replica(current: &Map, states: &[State]) -> bool {
     let mut replicas = current.cells().flat_map(|(_, row)| row);
     replicas.any(|replica| states[replica.rank.index()] != State::Loaded)
 }
--- a/crates/placement/src/replica.rs
+++ b/crates/placement/src/replica.rs
@@ -3,14 +3,14 @@
 use cactusnotch_derive::number;
 use cactusnotch_popularity::{Rank, Share};
 
-/// One loaded copy of an expert: the rank that holds it and the part of the
-/// expert's traffic that goes there.
+/// One loaded copy of an expert: the rank that holds it and the share of the
+/// expert's traffic that is routed there.
 #[number]
 #[serde(from = "(Rank, Share)", into = "(Rank, Share)")]
 pub struct Replica {
     /// The rank that holds the weights.
     pub rank: Rank,
-    /// The part of the expert's traffic that the rank is given.
+    /// The share of the expert's traffic that the rank receives.
     pub share: Share,
 }
 
--- a/crates/placement/src/search.rs
+++ b/crates/placement/src/search.rs
@@ -1,34 +1,35 @@
-//! The next move that makes a layer faster.
+//! Search for the next move that reduces a layer's step time.
 
 use crate::layer::Layer;
 
-/// The power in which times count, so that the slowest ranks dominate.
-const POWER: i32 = 16;
-/// The least relative decrease of the score that a move must bring.
-const DECREASE: f64 = 1e-3;
-/// Ranks within this part of the slowest one's time are hot.
-const HOT: f64 = 0.005;
-/// How many experts of the hot ranks are tried.
-const EXPERTS: usize = 3;
-/// How many places are tried for each of them.
-const PLACES: usize = 16;
+/// The exponent of rank times in the score; a high one lets the slowest ranks
+/// dominate.
+const TIME_EXPONENT: i32 = 16;
+/// The minimum relative decrease of the score for a move to be accepted.
+const MIN_SCORE_DECREASE: f64 = 1e-3;
+/// Ranks whose time is within this fraction of the slowest rank's are hot.
+const HOT_MARGIN: f64 = 0.005;
+/// The maximum number of experts of the hot ranks that are tried.
+const MAX_EXPERTS: usize = 3;
+/// The maximum number of places that are tried for each expert.
+const MAX_PLACES: usize = 16;
 
-/// A replica to add, and one to give up in its place.
+/// A move within one layer: a replica to add, and one to evict for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct Step {
+pub(crate) struct LayerMove {
     pub(crate) expert: u16,
     pub(crate) rank: u16,
     pub(crate) evict: Option<u16>,
 }
 
-impl Step {
-    /// Makes the step in `layer` and splits the traffic anew.
+impl LayerMove {
+    /// Applies the move to `layer` and rebalances the traffic.
     pub(crate) fn apply(self, layer: &mut Layer, speeds: &[f64]) {
-        self.place(layer, speeds);
+        self.move_replica(layer, speeds);
         layer.balance(speeds);
     }
 
-    fn place(self, layer: &mut Layer, speeds: &[f64]) {
+    fn move_replica(self, layer: &mut Layer, speeds: &[f64]) {
         if let Some(evict) = self.evict {
             layer.remove(evict, self.rank, speeds);
         }
@@ -36,7 +37,7 @@
     }
 }
 
-/// A place for a replica and the tokens per step that it could take over.
+/// A place for a replica, with the tokens per step that it could take over.
 #[derive(Debug, Clone, Copy)]
 struct Place {
     rank: u16,
@@ -44,7 +45,7 @@
     room: f64,
 }
 
-/// The ranks that may be given experts.
+/// The ranks of a group and their capacity.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Ranks<'a> {
     pub(crate) speeds: &'a [f64],
@@ -52,57 +53,62 @@
     pub(crate) slots: usize,
 }
 
-/// Returns the best move found and the layer after it, or `None` if no move
-/// tried makes the layer faster. Each move tried takes one from `effort`.
-pub(crate) fn next(layer: &Layer, ranks: Ranks, effort: &mut usize) -> Option<(Step, Layer)> {
+/// Returns the best move found and the layer after it, or `None` if none of the
+/// moves tried reduces the score. Each move tried takes one from `effort`; the
+/// search returns `None` when `effort` is used up.
+pub(crate) fn best_move(
+    layer: &Layer,
+    ranks: Ranks,
+    effort: &mut usize,
+) -> Option<(LayerMove, Layer)> {
     let scale = layer.slowest();
     let score = |layer: &Layer| score(layer, ranks.speeds, scale);
-    let mut best = (score(layer) * (1.0 - DECREASE), None);
+    let mut best = (score(layer) * (1.0 - MIN_SCORE_DECREASE), None);
     let places = places(layer, ranks);
     for expert in experts(layer, scale) {
         let fit = |place: &&Place| fits(layer, expert, place);
-        for place in places.iter().filter(fit).take(PLACES) {
+        for place in places.iter().filter(fit).take(MAX_PLACES) {
             *effort = effort.checked_sub(1)?;
             let (rank, evict) = (place.rank, place.evict);
-            let step = Step {
+            let layer_move = LayerMove {
                 expert,
                 rank,
                 evict,
             };
             let mut after = layer.clone();
-            step.place(&mut after, ranks.speeds);
-            after.settle(ranks.speeds);
+            layer_move.move_replica(&mut after, ranks.speeds);
+            after.balance_roughly(ranks.speeds);
             let score = score(&after);
             if score < best.0 {
-                best = (score, Some((step, after)));
+                best = (score, Some((layer_move, after)));
             }
         }
     }
-    let (step, mut after) = best.1?;
+    let (layer_move, mut after) = best.1?;
     after.balance(ranks.speeds);
-    Some((step, after))
+    Some((layer_move, after))
 }
 
 fn score(layer: &Layer, speeds: &[f64], scale: f64) -> f64 {
     let terms = layer.times.iter().zip(speeds);
     terms
-        .map(|(time, speed)| speed * (time / scale).powi(POWER))
+        .map(|(time, speed)| speed * (time / scale).powi(TIME_EXPONENT))
         .sum()
 }
 
-/// Returns the experts that bring the most traffic to the slowest ranks.
+/// Returns the experts with the most traffic on the hot ranks.
 fn experts(layer: &Layer, slowest: f64) -> Vec<u16> {
-    let hot = |at: usize| layer.times[at] >= slowest * (1.0 - HOT);
+    let hot = |at: usize| layer.times[at] >= slowest * (1.0 - HOT_MARGIN);
     let mut found: Vec<(f64, u16)> = Vec::new();
     for (expert, row) in (0..).zip(&layer.rows) {
-        let on_hot = row.iter().filter(|part| hot(part.at()));
-        let tokens = on_hot.map(|part| part.tokens).sum();
+        let on_hot = row.iter().filter(|assignment| hot(assignment.index()));
+        let tokens = on_hot.map(|assignment| assignment.tokens).sum();
         if tokens > 0.0 {
             found.push((tokens, expert));
         }
     }
     found.sort_by(|a, b| b.0.total_cmp(&a.0).then(a.1.cmp(&b.1)));
-    found.truncate(EXPERTS);
+    found.truncate(MAX_EXPERTS);
     found.into_iter().map(|(_, expert)| expert).collect()
 }
 
@@ -112,7 +118,7 @@
     absent && place.evict != Some(expert)
 }
 
-/// Returns the places for a replica, the roomiest first.
+/// Returns the possible places for a replica, those with the most room first.
 fn places(layer: &Layer, ranks: Ranks) -> Vec<Place> {
     let mut places = Vec::new();
     let slowest = layer.slowest();
@@ -126,7 +132,7 @@
             places.push(Place { rank, evict, room });
             continue;
         }
-        let spare = layer.held[at]
+        let redundant = layer.held[at]
             .iter()
             .filter(|&&held| layer.rows[usize::from(held)].len() > 1);
         let place = |&held: &u16| Place {
@@ -134,21 +140,26 @@
             evict: Some(held),
             room: room + freed(layer, ranks, slowest, held, rank),
         };
-        places.extend(spare.map(place).max_by(|a, b| a.room.total_cmp(&b.room)));
+        places.extend(
+            redundant
+                .map(place)
+                .max_by(|a, b| a.room.total_cmp(&b.room)),
+        );
     }
     places.sort_by(|a, b| b.room.total_cmp(&a.room));
     places
 }
 
-/// Returns the tokens per step that leave `rank` with the replica of `held`,
-/// less those that its other replicas have no room for.
+/// Returns the room that evicting `held` frees on `rank`, in tokens per step:
+/// its traffic there, less twice the part that its other replicas have no room
+/// for.
 fn freed(layer: &Layer, ranks: Ranks, slowest: f64, held: u16, rank: u16) -> f64 {
     let (mut tokens, mut room) = (0.0, 0.0);
-    for part in &layer.rows[usize::from(held)] {
-        if part.rank == rank {
-            tokens = part.tokens;
+    for assignment in &layer.rows[usize::from(held)] {
+        if assignment.rank == rank {
+            tokens = assignment.tokens;
         } else {
-            room += ranks.speeds[part.at()] * (slowest - layer.times[part.at()]);
+            room += ranks.speeds[assignment.index()] * (slowest - layer.times[assignment.index()]);
         }
     }
     tokens - 2.0 * (tokens - room).max(0.0)
--- a/crates/placement/src/state.rs
+++ b/crates/placement/src/state.rs
@@ -1,16 +1,16 @@
-//! Whether a rank can be used.
+//! The availability of a rank.
 
 use cactusnotch_derive::number;
 
-/// Whether a rank can be used.
+/// The availability of a rank.
 #[number]
 pub enum State {
-    /// The rank runs and holds what the map in force says.
+    /// The rank runs and holds the experts that the map in force assigns to it.
     #[default]
     Loaded,
-    /// The rank runs and holds nothing: it was replaced since the map in force
-    /// was made.
+    /// The rank runs and holds no experts: it was replaced after the map in
+    /// force was computed.
     Empty,
-    /// The rank is dead or leaving.
+    /// The rank has crashed or is leaving.
     Gone,
 }
--- a/crates/placement/tests/placement/group.rs
+++ b/crates/placement/tests/placement/group.rs
@@ -1,4 +1,4 @@
-//! A group whose reports are made from given loads.
+//! A simulated group whose ranks report given loads.
 
 use std::time::Duration;
 
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Lets every live rank report `seconds` spans of steps under `loads`.
+    /// Runs for `seconds` under `loads`; every loaded rank reports once a second.
     pub fn run(&mut self, loads: &[f64], seconds: u64) {
         for _ in 0..seconds {
             self.now += Duration::from_secs(1);
@@ -87,9 +87,9 @@
             .expect("the group has slots for all experts")
     }
 
-    /// Runs `rounds` intervals of the budget and applies each plan; returns
-    /// the moves made.
-    pub fn follow(&mut self, loads: &[f64], weights: &Weights, rounds: u64) -> usize {
+    /// Runs `rounds` intervals of the budget, applies each plan and returns the
+    /// number of moves.
+    pub fn run_planner(&mut self, loads: &[f64], weights: &Weights, rounds: u64) -> usize {
         let mut moves = 0;
         for _ in 0..rounds {
             self.run(loads, self.budget.interval.as_secs());
@@ -101,7 +101,7 @@
         moves
     }
 
-    /// Returns the skew of the map in force under `loads` and true speeds.
+    /// Returns the skew of the map in force under `loads` at the true speeds.
     pub fn skew(&self, loads: &[f64]) -> f64 {
         let (mut slowest, mut ideal) = (0.0, 0.0);
         for layer in 0..self.options.shape.layers {
@@ -121,8 +121,9 @@
     }
 }
 
-/// Returns even loads of `each` tokens per step with one hot expert a layer.
-pub fn hot(shape: Shape, each: f64, expert: usize, factor: f64) -> Vec<f64> {
+/// Returns loads of `each` tokens per step, multiplied by `factor` for one expert
+/// per layer.
+pub fn loads_with_hot_expert(shape: Shape, each: f64, expert: usize, factor: f64) -> Vec<f64> {
     let mut loads = vec![each; shape.cells()];
     for layer in 0..shape.layers {
         loads[shape.layer(layer).start + expert] *= factor;
--- a/crates/placement/tests/placement/main.rs
+++ b/crates/placement/tests/placement/main.rs
@@ -1,4 +1,4 @@
-//! Tests of maps and of the planner.
+//! Tests of expert maps and the planner.
 #![expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
--- a/crates/placement/tests/placement/plan.rs
+++ b/crates/placement/tests/placement/plan.rs
@@ -1,4 +1,4 @@
-//! Every plan, whole or cut short, gives a map that holds.
+//! Every plan yields a valid map, whether it is carried out in full or in part.
 
 use crate::group::Group;
 use cactusnotch_placement::{Map, Options, Shape, State, Weights};
@@ -26,7 +26,7 @@
     proptest::collection::vec(load, SHAPE.cells())
 }
 
-/// At least four ranks stay usable, as 16 experts need.
+/// At least four ranks stay usable, which 16 experts in 5 slots per rank need.
 fn states() -> impl Strategy<Value = Vec<State>> {
     let other = prop_oneof![Just(State::Gone), Just(State::Empty)];
     proptest::collection::vec((0..usize::from(RANKS), other), 0..3).prop_map(|lost| {
@@ -38,7 +38,7 @@
     })
 }
 
-fn holds(map: &Map, states: &[State], loaded: &[(u16, cactusnotch_placement::Cell)]) {
+fn assert_valid(map: &Map, states: &[State], loaded: &[(u16, cactusnotch_placement::Cell)]) {
     map.check_slots(SLOTS)
         .expect("no rank holds more than its slots");
     for (cell, row) in map.cells() {
@@ -74,11 +74,11 @@
             for count in plan.required..=plan.moves.len() {
                 let map = plan.map_after(count).expect("a plan can be cut after its required moves");
                 let loaded: Vec<_> = plan.moves[..count].iter().map(|m| (m.to.0, m.cell)).collect();
-                holds(&map, &group.states, &loaded);
+                assert_valid(&map, &group.states, &loaded);
                 for (cell, row) in map.cells() {
                     for replica in row {
-                        let known = old.holds(replica.rank, cell) || loaded.contains(&(replica.rank.0, cell));
-                        prop_assert!(known, "{cell} is used on rank {} before it is loaded", replica.rank);
+                        let is_loaded = old.holds(replica.rank, cell) || loaded.contains(&(replica.rank.0, cell));
+                        prop_assert!(is_loaded, "{cell} is used on rank {} before it is loaded", replica.rank);
                     }
                 }
             }
--- a/crates/placement/tests/placement/policy.rs
+++ b/crates/placement/tests/placement/policy.rs
@@ -1,15 +1,15 @@
-//! When the planner moves experts, and when it leaves them.
+//! When the planner moves experts, and when it leaves them in place.
 
 use std::time::Duration;
 
-use crate::group::{Group, hot};
+use crate::group::{Group, loads_with_hot_expert};
 use cactusnotch_placement::{Cell, Map, Options, Rank, Shape, Weights, bound, pack};
 
 const SHAPE: Shape = Shape {
     layers: 4,
     experts: 16,
 };
-const EACH: f64 = 40.0;
+const BASE_LOAD: f64 = 40.0;
 
 fn group(loads: &[f64]) -> Group {
     let mut group = Group::new(Options::new(SHAPE, 16, 2), loads);
@@ -19,12 +19,12 @@
 
 #[test]
 fn a_short_burst_moves_experts_for_skew_first_only() {
-    let even = vec![EACH; SHAPE.cells()];
-    let burst = hot(SHAPE, EACH, 3, 5.0);
+    let even = vec![BASE_LOAD; SHAPE.cells()];
+    let burst = loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 5.0);
     let moves = |weights: &Weights| {
         let mut group = group(&even);
-        let settled = group.follow(&even, weights, 4);
-        let moves = group.follow(&burst, weights, 2);
+        let settled = group.run_planner(&even, weights, 4);
+        let moves = group.run_planner(&burst, weights, 2);
         (settled, moves, group.skew(&burst))
     };
     let (settled, skew_first, skew) = moves(&Weights::SKEW_FIRST);
@@ -42,12 +42,12 @@
 
 #[test]
 fn a_lasting_change_is_followed_by_both_profiles() {
-    let even = vec![EACH; SHAPE.cells()];
-    let lasting = hot(SHAPE, EACH, 3, 5.0);
+    let even = vec![BASE_LOAD; SHAPE.cells()];
+    let lasting = loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 5.0);
     for weights in [Weights::SKEW_FIRST, Weights::COST_FIRST] {
         let mut group = group(&even);
         assert!(group.skew(&lasting) > 2.0);
-        group.follow(&lasting, &weights, 60);
+        group.run_planner(&lasting, &weights, 60);
         assert!(
             group.skew(&lasting) < 1.1,
             "{weights:?}: {}",
@@ -58,12 +58,12 @@
 
 #[test]
 fn a_move_that_does_not_pay_back_is_refused() {
-    let even = vec![EACH; SHAPE.cells()];
-    let lasting = hot(SHAPE, EACH, 3, 5.0);
+    let even = vec![BASE_LOAD; SHAPE.cells()];
+    let lasting = loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 5.0);
     let moves = |weights: &Weights, rate: u64| {
         let mut group = group(&even);
         group.budget.rate = rate;
-        group.follow(&lasting, weights, 60)
+        group.run_planner(&lasting, weights, 60)
     };
     assert!(moves(&Weights::BALANCED, 1_000_000_000) > 0);
     let costly = Weights {
@@ -85,9 +85,9 @@
 
 #[test]
 fn traffic_is_split_anew_before_anything_is_moved() {
-    let even = vec![EACH; SHAPE.cells()];
+    let even = vec![BASE_LOAD; SHAPE.cells()];
     let mut group = group(&even);
-    let lasting = hot(SHAPE, EACH, 3, 1.5);
+    let lasting = loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 1.5);
     group.run(&lasting, 400);
     let costly = Weights {
         cost: 100.0,
@@ -104,27 +104,27 @@
 
 #[test]
 fn a_slow_rank_is_given_less() {
-    let even = vec![EACH; SHAPE.cells()];
+    let even = vec![BASE_LOAD; SHAPE.cells()];
     let mut group = group(&even);
     group.speeds[5] /= 2.0;
-    let given = |map: &Map| -> f64 {
+    let traffic = |map: &Map| -> f64 {
         let shares = map.cells().flat_map(|(_, row)| row);
         shares
             .filter(|r| r.rank == Rank(5))
             .map(|r| r.share.fraction())
             .sum()
     };
-    let before = given(&group.map);
-    group.follow(&even, &Weights::BALANCED, 12);
-    let after = given(&group.map);
+    let before = traffic(&group.map);
+    group.run_planner(&even, &Weights::BALANCED, 12);
+    let after = traffic(&group.map);
     assert!(after < 0.6 * before, "{before} before, {after} after");
     assert!(group.skew(&even) < 1.1, "{}", group.skew(&even));
 }
 
 #[test]
 fn nothing_is_moved_for_speed_on_stale_reports() {
-    let mut group = group(&[EACH; SHAPE.cells()]);
-    group.run(&hot(SHAPE, EACH, 3, 5.0), 60);
+    let mut group = group(&[BASE_LOAD; SHAPE.cells()]);
+    group.run(&loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 5.0), 60);
     group.now += Duration::from_mins(2);
     let plan = group.plan(&Weights::SKEW_FIRST);
     assert!(plan.is_none_or(|plan| plan.moves.is_empty()));
@@ -132,10 +132,14 @@
 
 #[test]
 fn plans_are_the_same_each_time() {
-    let even = vec![EACH; SHAPE.cells()];
+    let even = vec![BASE_LOAD; SHAPE.cells()];
     let run = || {
         let mut group = group(&even);
-        group.follow(&hot(SHAPE, EACH, 3, 5.0), &Weights::BALANCED, 10);
+        group.run_planner(
+            &loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 5.0),
+            &Weights::BALANCED,
+            10,
+        );
         group.map.digest()
     };
     assert_eq!(run(), run());
@@ -143,7 +147,7 @@
 
 #[test]
 fn a_map_keeps_its_digest_when_it_is_sent_and_is_checked_when_it_arrives() {
-    let loads = hot(SHAPE, EACH, 3, 5.0);
+    let loads = loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 5.0);
     let map = pack::pack(SHAPE, &loads, &[1.0; 16], 2).unwrap();
     let mut bytes = Vec::new();
     ciborium::into_writer(&map, &mut bytes).unwrap();
@@ -168,7 +172,7 @@
 
 #[test]
 fn the_bound_counts_slots() {
-    // Two ranks of one slot each: the heavy expert has one of them at best.
+    // Two ranks with one slot each: the heavy expert can have only one of them.
     assert!((bound::layer_time(&[3.0, 1.0], &[1.0, 1.0], 1) - 3.0).abs() < 1e-6);
     assert!((bound::layer_time(&[3.0, 1.0], &[1.0, 1.0], 2) - 2.0).abs() < 1e-6);
 }
