--- a/crates/placement/examples/traces/effort.rs
+++ b/crates/placement/examples/traces/effort.rs
@@ -55,7 +55,7 @@
         let record = || Histogram::new(3).expect("three digits are allowed");
         Self {
             planner: Planner::new(options),
-            map: pack::pack(SHAPE, &rates, &speeds, slots).expect("slots suffice"),
+            map: pack::map(SHAPE, &rates, &speeds, slots).expect("slots suffice"),
             options,
             speeds,
             reports: record(),
--- a/crates/placement/examples/traces/policy.rs
+++ b/crates/placement/examples/traces/policy.rs
@@ -140,7 +140,7 @@
             *speed = 0.0;
         }
     }
-    let packed = pack::pack(SHAPE, &rates, &speeds, SLOTS).expect("slots suffice");
+    let packed = pack::map(SHAPE, &rates, &speeds, SLOTS).expect("slots suffice");
     let mut loads = Vec::new();
     for (cell, row) in packed.cells() {
         let new = row.iter().filter(|replica| !map.holds(replica.rank, cell));
--- a/crates/placement/examples/traces/simulation.rs
+++ b/crates/placement/examples/traces/simulation.rs
@@ -63,7 +63,7 @@
 
 /// Runs `policy` on `trace`.
 pub fn run(trace: &Trace, policy: Policy) -> Summary {
-    let map = pack::pack(SHAPE, &trace.rates(0), &trace.speeds(0), SLOTS);
+    let map = pack::map(SHAPE, &trace.rates(0), &trace.speeds(0), SLOTS);
     let mut run = Run {
         trace,
         policy,
--- a/crates/placement/src/pack.rs
+++ b/crates/placement/src/pack.rs
@@ -17,7 +17,7 @@
 /// # Errors
 ///
 /// Returns an error if the ranks have fewer slots than a layer has experts.
-pub fn pack(shape: Shape, loads: &[f64], speeds: &[f64], slots: usize) -> Result<Map, map::Error> {
+pub fn map(shape: Shape, loads: &[f64], speeds: &[f64], slots: usize) -> Result<Map, map::Error> {
     let layers = (0..shape.layers).map(|layer| &loads[shape.layer(layer)]);
     let packed = layers.map(|loads| pack_layer(loads, speeds, slots));
     let rows = packed.flat_map(|layer| layer.replicas().collect::<Vec<_>>());
--- a/crates/placement/tests/placement/group.rs
+++ b/crates/placement/tests/placement/group.rs
@@ -26,7 +26,7 @@
         let speeds = vec![100_000.0; usize::from(options.ranks)];
         Self {
             planner: Planner::new(options),
-            map: pack::pack(options.shape, loads, &speeds, options.slots).expect("slots suffice"),
+            map: pack::map(options.shape, loads, &speeds, options.slots).expect("slots suffice"),
             states: vec![State::Loaded; speeds.len()],
             speeds,
             budget: Budget {
--- a/crates/placement/tests/placement/policy.rs
+++ b/crates/placement/tests/placement/policy.rs
@@ -148,7 +148,7 @@
 #[test]
 fn a_map_keeps_its_digest_when_it_is_sent_and_is_checked_when_it_arrives() {
     let loads = loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 5.0);
-    let map = pack::pack(SHAPE, &loads, &[1.0; 16], 2).unwrap();
+    let map = pack::map(SHAPE, &loads, &[1.0; 16], 2).unwrap();
     let mut bytes = Vec::new();
     ciborium::into_writer(&map, &mut bytes).unwrap();
     let read: Map = ciborium::from_reader(bytes.as_slice()).unwrap();
