--- a/crates/popularity/src/cell.rs
+++ b/crates/popularity/src/cell.rs
@@ -1,4 +1,4 @@
-//! What is kept of each expert.
+//! The statistics of one expert.
 
 use cactusnotch_base::number::Step;
 
@@ -6,28 +6,31 @@
 use crate::estimate::Estimate;
 use crate::options::Options;
 
-/// How fast the dispersion follows new residuals, for each report.
+/// The smoothing factor of the dispersion, applied per report.
 const DISPERSION_GAIN: f64 = 0.02;
-/// The most that one residual counts, so that a burst does not pass for noise.
+/// The limit on one residual, as a multiple of the dispersion. It keeps a burst
+/// from being counted as noise.
 const RESIDUAL_LIMIT: f64 = 9.0;
 
-/// How many standard deviations the quick rate must stand away from the fast
-/// one to show a trend.
+/// The number of standard deviations by which the quick rate must differ from
+/// the fast one for a trend to be assumed.
 const TREND_THRESHOLD: f64 = 2.0;
-/// The distance of the quick rate from the fast one, as a part of it, from
-/// which on the rate is taken to have jumped.
-const JUMP: f64 = 0.3;
-/// How far beyond both rates a trend is followed, as a part of them.
+/// The difference between the quick and the fast rate, relative to the fast one,
+/// above which the rate is assumed to have jumped.
+const JUMP_THRESHOLD: f64 = 0.3;
+/// The limit on extrapolation beyond the quick and the fast rate, relative to
+/// them.
 const TREND_LIMIT: f64 = 0.3;
 
-/// The sums and the noise of one expert.
+/// The decayed sums and the noise of one expert.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Row {
     pub(crate) quick: Sum,
     pub(crate) fast: Sum,
     pub(crate) slow: Sum,
-    /// The variance of counts over that of a Poisson process.
+    /// The variance of counts relative to that of a Poisson process.
     dispersion: f64,
+    /// The step at which the present burst was detected.
     pub(crate) burst: Option<Step>,
 }
 
@@ -44,8 +47,9 @@
 }
 
 impl Row {
-    /// Learns the noise of counts from one count, before it is added.
-    pub(crate) fn learn(&mut self, tokens: f64, exposure: f64) {
+    /// Updates the dispersion from one count, before the count is added to the
+    /// sums.
+    pub(crate) fn update_dispersion(&mut self, tokens: f64, exposure: f64) {
         let Some(rate) = self.fast.rate() else {
             return;
         };
@@ -56,8 +60,8 @@
         self.dispersion = self.dispersion.max(1.0);
     }
 
-    /// Returns the estimate at a step where the fast and the slow sums weigh as
-    /// given.
+    /// Returns the estimate at a step at which the fast and the slow sums have the
+    /// given weights.
     pub(crate) fn estimate(&self, fast: f64, slow: f64, options: &Options) -> Option<Estimate> {
         let (fast_rate, slow_rate) = (self.fast.rate()?, self.slow.rate()?);
         let floor = options.floor;
@@ -65,30 +69,33 @@
         Some(Estimate {
             fast: fast_rate,
             fast_deviation,
-            ahead: self.ahead(fast_rate, fast_deviation, options),
+            ahead: self.project(fast_rate, fast_deviation, options),
             slow: slow_rate,
             slow_deviation: self.deviation(slow_rate, self.slow.steps(slow), floor),
             burst: self.burst,
         })
     }
 
-    /// Returns where the fast rate is heading if the quick one stands away from
-    /// it by more than noise. Each lags behind a steady rise by its span; after
-    /// a jump there is no rise to follow and the quick rate is the best.
-    fn ahead(&self, fast: f64, deviation: f64, options: &Options) -> f64 {
+    /// Returns the rate to expect `lead` steps ahead, extrapolated from the
+    /// quick and the fast rate if they differ by more than noise.
+    ///
+    /// Each rate lags behind a steady rise by its span, which gives the slope.
+    /// After a jump there is no trend to extrapolate, and the quick rate is the
+    /// best estimate.
+    fn project(&self, fast: f64, deviation: f64, options: &Options) -> f64 {
         let quick = self.quick.rate().unwrap_or(fast);
         let rise = quick - fast;
         if rise.abs() < TREND_THRESHOLD * deviation {
             return fast;
         }
-        if rise.abs() > JUMP * fast {
+        if rise.abs() > JUMP_THRESHOLD * fast {
             return quick;
         }
         let slope = rise / (options.fast - options.quick);
-        let ahead = fast + slope * (options.fast + options.lead);
+        let projected = fast + slope * (options.fast + options.lead);
         let low = (1.0 - TREND_LIMIT) * quick.min(fast);
         let high = (1.0 + TREND_LIMIT) * quick.max(fast);
-        ahead.clamp(low, high)
+        projected.clamp(low, high)
     }
 
     fn deviation(&self, rate: f64, steps: f64, floor: f64) -> f64 {
@@ -97,14 +104,22 @@
         counted.hypot(floor * rate)
     }
 
-    /// Begins or ends a burst. `least` is the rate below which the expert is
-    /// too cold for a change to matter.
-    pub(crate) fn judge(&mut self, estimate: &Estimate, least: f64, options: &Options, now: Step) {
-        let away = (estimate.fast - estimate.slow).abs();
+    /// Updates whether the expert is in a burst. Changes are compared with
+    /// `min_rate` if the slow rate is below it, because changes of rarely used
+    /// experts do not matter.
+    pub(crate) fn update_burst(
+        &mut self,
+        estimate: &Estimate,
+        min_rate: f64,
+        options: &Options,
+        now: Step,
+    ) {
+        let distance = (estimate.fast - estimate.slow).abs();
         let noise = estimate.fast_deviation.hypot(estimate.slow_deviation);
-        let base = estimate.slow.max(least);
-        let part = if self.burst.is_some() { 0.5 } else { 1.0 };
-        let far = away > part * options.threshold * noise && away > part * options.contrast * base;
-        self.burst = far.then_some(self.burst.unwrap_or(now));
+        let base = estimate.slow.max(min_rate);
+        let hysteresis = if self.burst.is_some() { 0.5 } else { 1.0 };
+        let exceeds = distance > hysteresis * options.threshold * noise
+            && distance > hysteresis * options.contrast * base;
+        self.burst = exceeds.then_some(self.burst.unwrap_or(now));
     }
 }
--- a/crates/popularity/src/decay.rs
+++ b/crates/popularity/src/decay.rs
@@ -1,11 +1,14 @@
-//! Sums whose older parts weigh less.
+//! Exponentially decayed sums.
 
-/// The exponent at which weights are brought back to one.
-const LIMIT: f64 = 50.0;
+/// The exponent at which the origin is moved, which resets weights to one before
+/// they grow too large.
+const MAX_EXPONENT: f64 = 50.0;
 
-/// The weight of each step in decayed sums. Weights grow forward from an
-/// origin, so that adding to one sum touches no other, and the order in which
-/// reports arrive does not matter.
+/// The weight of each step in decayed sums.
+///
+/// Newer steps get larger weights, counted from an origin, instead of older
+/// sums being scaled down. An addition therefore touches one sum only, and the
+/// order in which reports arrive does not matter.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Decay {
     span: f64,
@@ -22,10 +25,10 @@
         self.exponent(step).exp()
     }
 
-    /// Moves the origin to `step` if weights there have grown too large, and
-    /// returns the factor by which sums made so far are to be scaled.
+    /// Moves the origin to `step` if its weight has grown too large, and returns
+    /// the factor by which existing sums have to be scaled.
     pub(crate) fn rebase(&mut self, step: u64) -> Option<f64> {
-        if self.exponent(step) < LIMIT {
+        if self.exponent(step) < MAX_EXPONENT {
             return None;
         }
         let factor = (-self.exponent(step)).exp();
@@ -41,8 +44,8 @@
     }
 }
 
-/// A decayed sum of tokens, and of the steps over which they were counted,
-/// each step weighed by the share of traffic that the counter saw.
+/// A decayed sum of tokens and of the steps over which they were counted, each
+/// step weighted by the share of traffic that the counter observed.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Sum {
     tokens: f64,
@@ -65,7 +68,7 @@
         (self.exposure > f64::MIN_POSITIVE).then(|| self.tokens / self.exposure)
     }
 
-    /// Returns the steps counted as they weigh at a step of weight `now`.
+    /// Returns the decayed number of steps at a step of weight `now`.
     pub(crate) fn steps(&self, now: f64) -> f64 {
         self.exposure / now
     }
--- a/crates/popularity/src/estimate.rs
+++ b/crates/popularity/src/estimate.rs
@@ -3,30 +3,31 @@
 use cactusnotch_base::number::Step;
 use cactusnotch_derive::message;
 
-/// The estimated rate of an expert, in tokens per step, on two time scales.
+/// The estimated rate of an expert in tokens per step, on two time scales.
 #[message]
 #[derive(Copy)]
 pub struct Estimate {
-    /// The rate over the last seconds.
+    /// The rate over the last few seconds.
     pub fast: f64,
     /// The standard deviation of `fast`.
     pub fast_deviation: f64,
-    /// The rate to which the fast one is heading if it is in a burst.
+    /// The extrapolated rate during a burst.
     pub ahead: f64,
-    /// The rate over the last minutes.
+    /// The rate over the last few minutes.
     pub slow: f64,
     /// The standard deviation of `slow`.
     pub slow_deviation: f64,
-    /// The step at which the fast rate was found to have left the slow one, as
-    /// long as it stays away.
+    /// The step at which the present burst was detected: the fast rate differs
+    /// from the slow one by more than noise.
     pub burst: Option<Step>,
 }
 
 impl Estimate {
-    /// Returns the rate to expect in the next steps: that to which the fast one
-    /// is heading in a burst, otherwise the mean of both weighed by their precision. The slow rate
-    /// counts less the farther the fast one stands from it beyond its noise,
-    /// since it lags behind a drift.
+    /// Returns the rate to expect in the next steps: the extrapolated rate during
+    /// a burst, otherwise the mean of both rates weighted by their precision.
+    ///
+    /// The weight of the slow rate falls with its distance from the fast one
+    /// beyond the noise of the latter, because it lags behind a drift.
     #[must_use]
     pub fn rate(&self) -> f64 {
         if self.burst.is_some() {
@@ -42,8 +43,8 @@
         }
     }
 
-    /// Returns the square of the distance of both rates that noise does not
-    /// explain.
+    /// Returns the squared difference of both rates in excess of the variance of
+    /// the fast one.
     fn lag(&self) -> f64 {
         let distance = (self.fast - self.slow).powi(2);
         (distance - self.fast_deviation.powi(2)).max(0.0)
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Returns how many steps before `now` the burst was found, or `None` if
+    /// Returns how many steps before `now` the burst was detected, or `None` if
     /// there is none.
     #[must_use]
     pub fn age(&self, now: Step) -> Option<u64> {
--- a/crates/popularity/src/lib.rs
+++ b/crates/popularity/src/lib.rs
@@ -1,9 +1,9 @@
-//! Estimates of expert popularity and rank speed from late, gappy counts.
+//! Estimates of expert popularity and rank speed from delayed, incomplete counts.
 //!
-//! Each rank reports, with a number, how many tokens each of its replicas was
-//! given over a span of steps, which share of the expert's traffic the
-//! replica had, and how long the rank itself was busy. The crate does no I/O
-//! and reads no clock: its time is the step number, which all ranks share.
+//! Each numbered report of a rank has the tokens of each of its replicas over a
+//! span of steps, the replica's share of the expert's traffic, and the time for
+//! which the rank was busy. The crate does no I/O and reads no clock: its time is
+//! the step number, which all ranks share.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/popularity/src/options.rs
+++ b/crates/popularity/src/options.rs
@@ -1,39 +1,40 @@
-//! How estimates are made.
+//! The parameters of the estimates.
 
 use std::time::Duration;
 
 use cactusnotch_derive::message;
 
-/// How estimates are made.
+/// The parameters of the estimates.
 #[message]
 #[derive(Copy)]
 pub struct Options {
-    /// The steps over which the quick estimate forgets, by a factor of e. It
-    /// serves to tell where the fast one is heading.
+    /// The steps in which the quick estimate decays by a factor of e. It is used
+    /// to extrapolate the fast one.
     pub quick: f64,
-    /// The steps over which the fast estimate forgets, by a factor of e.
+    /// The steps in which the fast estimate decays by a factor of e.
     pub fast: f64,
-    /// The steps over which the slow estimate forgets, by a factor of e.
+    /// The steps in which the slow estimate decays by a factor of e.
     pub slow: f64,
-    /// How many standard deviations the fast estimate must stand away from the
-    /// slow one for a burst to begin. A burst ends at half of this.
+    /// The number of standard deviations by which the fast estimate must differ
+    /// from the slow one for a burst to begin. A burst ends at half of this.
     pub threshold: f64,
-    /// How far, as a part of the slow rate, the fast estimate must stand away
-    /// for a burst to begin. A burst ends at half of this.
+    /// The difference from the slow rate, relative to it, that the fast estimate
+    /// must reach for a burst to begin. A burst ends at half of this.
     pub contrast: f64,
-    /// How many steps ahead of the newest report a rate is wanted in a burst:
-    /// those until a plan is in force, and half of those it stays.
+    /// The number of steps ahead of the newest report for which the rate is
+    /// extrapolated in a burst: the steps until a plan is in force, and half of
+    /// those for which it stays in force.
     pub lead: f64,
-    /// The least relative standard deviation of an estimate, for noise that
-    /// lasts longer than a report.
+    /// The minimum relative standard deviation of an estimate. It covers noise
+    /// that lasts longer than one report.
     pub floor: f64,
-    /// The time a rank is busy in each step whatever the tokens it is given.
+    /// The time for which a rank is busy in each step regardless of its tokens.
     pub fixed: Duration,
 }
 
 impl Default for Options {
     /// Returns options for steps of about five milliseconds: the fast estimate
-    /// forgets over five seconds and the slow one over five minutes.
+    /// decays over five seconds and the slow one over five minutes.
     fn default() -> Self {
         Self {
             quick: 250.0,
--- a/crates/popularity/src/popularity.rs
+++ b/crates/popularity/src/popularity.rs
@@ -1,4 +1,4 @@
-//! The estimates of a group.
+//! The popularity and speed estimates of a group.
 
 use cactusnotch_base::number::Step;
 use derive_more::{Display, Error};
@@ -12,17 +12,17 @@
 use crate::shape::{Cell, Shape};
 use crate::source::Source;
 
-/// The part of the mean rate of a layer below which an expert is cold.
-const COLD: f64 = 0.25;
-/// The least speed of a rank, as a part of the median speed.
-const SLOWEST: f64 = 0.05;
+/// The fraction of a layer's mean rate below which an expert is rarely used.
+const MIN_RATE_RATIO: f64 = 0.25;
+/// The minimum speed of a rank, as a fraction of the median speed.
+const MIN_SPEED_RATIO: f64 = 0.05;
 
 /// Why a report was not counted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// The report was seen before, is too old to tell, or is from a former
-    /// life of the rank.
-    #[display("report {} of rank {rank} was seen before or is too old", sequence.0)]
+    /// The report is a duplicate, too old to be checked for duplicates, or from
+    /// an earlier incarnation of the rank.
+    #[display("report {} of rank {rank} is a duplicate or too old", sequence.0)]
     Stale {
         /// The rank.
         rank: Rank,
@@ -30,29 +30,31 @@
         sequence: cactusnotch_base::number::Sequence,
     },
     /// The group has no such rank.
-    #[display("a report names rank {rank}, which the group has not")]
+    #[display("a report names rank {rank}, which is not in the group")]
     Rank {
         /// The rank.
         rank: Rank,
     },
     /// The model has no such expert.
-    #[display("a report of rank {rank} names {cell}, which the model has not")]
+    #[display("a report of rank {rank} names {cell}, which is not in the model")]
     Cell {
         /// The rank.
         rank: Rank,
         /// The expert.
         cell: Cell,
     },
-    /// The report covers no step.
-    #[display("a report of rank {rank} covers no step")]
+    /// The report covers no steps.
+    #[display("a report of rank {rank} covers no steps")]
     Empty {
         /// The rank.
         rank: Rank,
     },
 }
 
-/// The estimates of a group. Its memory is fixed when it is created: one row
-/// for each expert of each layer and one for each rank.
+/// The popularity and speed estimates of a group.
+///
+/// The memory is fixed at creation: one row for each expert of each layer and
+/// one for each rank.
 #[derive(Debug, Clone)]
 pub struct Popularity {
     options: Options,
@@ -66,7 +68,7 @@
 }
 
 impl Popularity {
-    /// Creates the estimates for a model of `shape` on `ranks` ranks.
+    /// Creates empty estimates for a model of `shape` on `ranks` ranks.
     #[must_use]
     pub fn new(shape: Shape, ranks: u16, options: Options) -> Self {
         Self {
@@ -81,17 +83,18 @@
         }
     }
 
-    /// Returns the newest step that a report has covered.
+    /// Returns the newest step that any report has covered.
     #[must_use]
     pub const fn now(&self) -> Step {
         self.now
     }
 
-    /// Adds a report, which may be late, and may have come before.
+    /// Adds a report, which may be delayed or a duplicate.
     ///
     /// # Errors
     ///
-    /// Returns why the report was not counted; then nothing has changed.
+    /// Returns an error if the report was not counted; the estimates are then
+    /// unchanged.
     pub fn observe(&mut self, report: &Report) -> Result<(), Error> {
         self.check(report)?;
         let rank = report.rank;
@@ -141,47 +144,46 @@
         let quick = self.quick.weight(middle);
         let (fast, slow) = (self.fast.weight(middle), self.slow.weight(middle));
         for count in &report.counts {
-            let Some(at) = self.shape.index(count.cell) else {
+            let Some(index) = self.shape.index(count.cell) else {
                 continue;
             };
             let tokens = f64::from(count.tokens);
             let exposure = f64::from(report.steps) * count.share.fraction();
-            let row = &mut self.rows[at];
-            row.learn(tokens, exposure);
+            let row = &mut self.rows[index];
+            row.update_dispersion(tokens, exposure);
             row.quick.add(quick, tokens, exposure);
             row.fast.add(fast, tokens, exposure);
             row.slow.add(slow, tokens, exposure);
         }
     }
 
-    /// Runs over all experts and notes where a burst begins or ends. It is to
-    /// be called about once a second.
+    /// Updates for all experts whether they are in a burst. Call it about once a
+    /// second.
     pub fn update_bursts(&mut self) {
         for layer in 0..self.shape.layers {
-            let least = COLD * self.mean(layer);
-            for at in self.shape.layer(layer) {
-                if let Some(estimate) = self.estimate(at) {
-                    self.rows[at].judge(&estimate, least, &self.options, self.now);
+            let min_rate = MIN_RATE_RATIO * self.mean(layer);
+            for index in self.shape.layer(layer) {
+                if let Some(estimate) = self.estimate(index) {
+                    self.rows[index].update_burst(&estimate, min_rate, &self.options, self.now);
                 }
             }
         }
     }
 
-    /// Returns the estimated rate of an expert, or `None` if nothing has been
-    /// counted of it.
+    /// Returns the estimated rate of an expert, or `None` if it has no counts.
     #[must_use]
     pub fn rate(&self, cell: Cell) -> Option<Estimate> {
         self.estimate(self.shape.index(cell)?)
     }
 
-    fn estimate(&self, at: usize) -> Option<Estimate> {
+    fn estimate(&self, index: usize) -> Option<Estimate> {
         let fast = self.fast.weight(self.now.0);
         let slow = self.slow.weight(self.now.0);
-        self.rows[at].estimate(fast, slow, &self.options)
+        self.rows[index].estimate(fast, slow, &self.options)
     }
 
-    /// Returns the mean rate of the counted experts of `layer`, in tokens per
-    /// step.
+    /// Returns the mean rate of the experts of `layer` that have counts, in tokens
+    /// per step.
     #[must_use]
     pub fn mean(&self, layer: u16) -> f64 {
         let rows = &self.rows[self.shape.layer(layer)];
@@ -190,9 +192,10 @@
         rates().sum::<f64>() / f64::from(count.max(1))
     }
 
-    /// Returns the speed of each rank in tokens per second of its busy time.
-    /// A rank that has reported none is taken to have the median speed, or a
-    /// speed of one if no rank has reported any.
+    /// Returns the speed of each rank in tokens per second of busy time.
+    ///
+    /// A rank without samples is assigned the median speed, or a speed of one
+    /// if no rank has samples.
     #[must_use]
     pub fn speeds(&self) -> Vec<f64> {
         let measured: Vec<_> = self.sources.iter().map(|s| s.speed.median()).collect();
@@ -201,7 +204,7 @@
         let median = sorted.get(sorted.len() / 2).copied().unwrap_or(1.0);
         measured
             .iter()
-            .map(|speed| speed.unwrap_or(median).max(SLOWEST * median))
+            .map(|speed| speed.unwrap_or(median).max(MIN_SPEED_RATIO * median))
             .collect()
     }
 }
--- a/crates/popularity/src/rank.rs
+++ b/crates/popularity/src/rank.rs
@@ -10,7 +10,7 @@
 pub struct Rank(pub u16);
 
 impl Rank {
-    /// Returns the rank as an index into a table with a row for each rank.
+    /// Returns the index of the rank in a table with one row per rank.
     #[must_use]
     pub const fn index(self) -> usize {
         self.0 as usize
--- a/crates/popularity/src/shape.rs
+++ b/crates/popularity/src/shape.rs
@@ -3,14 +3,14 @@
 use cactusnotch_derive::number;
 use derive_more::Display;
 
-/// How many layers of experts a model has, and how many experts a layer.
+/// The number of expert layers of a model, and of experts per layer.
 #[number]
 #[derive(Display)]
 #[display("{layers} layers of {experts} experts")]
 pub struct Shape {
-    /// The layers that have experts.
+    /// The number of layers that have experts.
     pub layers: u16,
-    /// The experts of each layer.
+    /// The number of experts of each layer.
     pub experts: u16,
 }
 
@@ -21,8 +21,8 @@
         self.layers as usize * self.experts as usize
     }
 
-    /// Returns the position of `cell` in a table with a row for each cell, or
-    /// `None` if the model has no such expert.
+    /// Returns the index of `cell` in a table with one row per cell, or `None` if
+    /// the model has no such expert.
     #[must_use]
     pub const fn index(self, cell: Cell) -> Option<usize> {
         if cell.layer < self.layers && cell.expert < self.experts {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Returns the positions of the cells of `layer`.
+    /// Returns the indices of the cells of `layer`.
     #[must_use]
     pub const fn layer(self, layer: u16) -> std::ops::Range<usize> {
         let experts = self.experts as usize;
--- a/crates/popularity/src/share.rs
+++ b/crates/popularity/src/share.rs
@@ -1,9 +1,9 @@
-//! A part of an expert's traffic.
+//! A share of an expert's traffic.
 
 use cactusnotch_derive::number;
 use derive_more::Display;
 
-/// A part of an expert's traffic, in units of 1 / [`Share::WHOLE`].
+/// A share of an expert's traffic, in units of 1 / [`Share::WHOLE`].
 #[number]
 #[derive(Display)]
 #[serde(transparent)]
--- a/crates/popularity/src/source.rs
+++ b/crates/popularity/src/source.rs
@@ -1,4 +1,4 @@
-//! What is kept of each rank.
+//! The state kept for each rank.
 
 use cactusnotch_base::number::Incarnation;
 
@@ -6,7 +6,7 @@
 use crate::speed::Speed;
 use crate::window::Window;
 
-/// One rank as a source of reports.
+/// The state of one rank as a source of reports.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Source {
     incarnation: Incarnation,
@@ -15,7 +15,7 @@
 }
 
 impl Source {
-    /// Tells whether a report is new, and notes it as seen.
+    /// Records a report and returns whether it is new.
     pub(crate) fn admit(&mut self, report: &Report) -> bool {
         if report.incarnation < self.incarnation {
             return false;
--- a/crates/popularity/src/speed.rs
+++ b/crates/popularity/src/speed.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-/// How many samples are kept; the median of them is the speed.
+/// The number of samples kept; the speed is their median.
 const SAMPLES: usize = 15;
 
-/// The last samples of a rank's speed, in tokens per second of busy time.
+/// The latest samples of a rank's speed in tokens per second of busy time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Speed {
     samples: [f64; SAMPLES],
@@ -13,7 +13,7 @@
 }
 
 impl Speed {
-    /// Notes that `tokens` took `busy`.
+    /// Adds a sample: `tokens` were processed in `busy`.
     #[expect(clippy::cast_precision_loss, reason = "token counts are small")]
     pub(crate) fn observe(&mut self, tokens: u64, busy: Duration) {
         if tokens == 0 || busy.is_zero() {
@@ -23,7 +23,7 @@
         self.count += 1;
     }
 
-    /// Returns the median of the samples, if there are any.
+    /// Returns the median of the samples, or `None` if there are none.
     pub(crate) fn median(&self) -> Option<f64> {
         let kept = self.count.min(SAMPLES);
         let mut sorted = self.samples;
--- a/crates/popularity/src/window.rs
+++ b/crates/popularity/src/window.rs
@@ -1,12 +1,12 @@
-//! Which report numbers have been seen.
+//! Detection of duplicate report numbers.
 
 use cactusnotch_base::number::Sequence;
 
-/// How many numbers below the newest are remembered.
-const SPAN: u64 = 64;
+/// The number of sequence numbers that are remembered, up to the newest.
+const WINDOW: u64 = 64;
 
-/// The numbers seen lately from one source. An old number that is no longer
-/// remembered counts as seen, so that nothing is counted twice.
+/// The recent sequence numbers of one source. A number that is older than the
+/// window counts as seen, so no report is counted twice.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Window {
     newest: Option<Sequence>,
@@ -15,7 +15,7 @@
 }
 
 impl Window {
-    /// Notes `sequence` and tells whether it had not been seen.
+    /// Records `sequence` and returns whether it is new.
     pub(crate) fn admit(&mut self, sequence: Sequence) -> bool {
         let Some(newest) = self.newest else {
             self.newest = Some(sequence);
@@ -27,16 +27,16 @@
             self.newest = Some(sequence);
             return true;
         }
-        self.fill(newest.0 - sequence.0)
+        self.mark(newest.0 - sequence.0)
     }
 
     fn advance(&mut self, by: u64) {
-        self.seen = if by < SPAN { self.seen << by } else { 0 };
+        self.seen = if by < WINDOW { self.seen << by } else { 0 };
         self.seen |= 1;
     }
 
-    fn fill(&mut self, age: u64) -> bool {
-        if age >= SPAN {
+    fn mark(&mut self, age: u64) -> bool {
+        if age >= WINDOW {
             return false;
         }
         let bit = 1 << age;
--- a/crates/popularity/tests/estimates.rs
+++ b/crates/popularity/tests/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates hold against lost, late and repeated reports, and tell bursts
+//! Estimates tolerate lost, delayed and duplicate reports, and distinguish bursts
 //! from drift.
 
 #![expect(
@@ -25,7 +25,7 @@
 };
 const STEPS: u32 = 200;
 
-/// A report of a rank that takes half of the traffic of one expert.
+/// Returns a report of a rank that has half of the traffic of one expert.
 fn report(rank: u16, sequence: u64, rate: f64) -> Report {
     let tokens = (rate * f64::from(STEPS) / 2.0).round() as u32;
     Report {
@@ -43,7 +43,7 @@
     }
 }
 
-fn fed(rates: impl Iterator<Item = f64>) -> Popularity {
+fn observe_rates(rates: impl Iterator<Item = f64>) -> Popularity {
     let mut popularity = Popularity::new(SHAPE, 2, Options::default());
     for (sequence, rate) in (0..).zip(rates) {
         for rank in 0..2 {
@@ -56,8 +56,8 @@
     popularity
 }
 
-fn close(left: f64, right: f64, part: f64) -> bool {
-    (left - right).abs() <= part * right.abs()
+fn is_close(left: f64, right: f64, tolerance: f64) -> bool {
+    (left - right).abs() <= tolerance * right.abs()
 }
 
 fn config() -> ProptestConfig {
@@ -72,8 +72,8 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// Rates come out the same in whatever order reports arrive, however often
-    /// each comes, and a lost report changes a steady rate by nothing.
+    /// The rates depend neither on the order of reports nor on duplicates, and a
+    /// lost report does not change a steady rate.
     #[test]
     fn late_repeated_and_lost_reports_do_not_bend_a_rate(
         rate in 10.0..500.0_f64,
@@ -96,25 +96,25 @@
             }
         }
         let (a, b) = (straight.rate(CELL).unwrap(), shuffled.rate(CELL).unwrap());
-        prop_assert!(close(a.fast, b.fast, 1e-9) && close(a.slow, b.slow, 1e-9));
+        prop_assert!(is_close(a.fast, b.fast, 1e-9) && is_close(a.slow, b.slow, 1e-9));
         let mut steady = Popularity::new(SHAPE, 2, Options::default());
         for at in (0..60).filter(keep) {
             steady.observe(&report(0, at, rate)).expect("a new report");
         }
-        prop_assert!(close(steady.rate(CELL).unwrap().fast, rate, 0.01));
+        prop_assert!(is_close(steady.rate(CELL).unwrap().fast, rate, 0.01));
     }
 }
 
 #[test]
 fn a_report_older_than_the_window_is_not_counted() {
-    let mut popularity = fed((0..100).map(|_| 50.0));
+    let mut popularity = observe_rates((0..100).map(|_| 50.0));
     assert!(popularity.observe(&report(0, 20, 9_000.0)).is_err());
-    assert!(close(popularity.rate(CELL).unwrap().slow, 50.0, 0.01));
+    assert!(is_close(popularity.rate(CELL).unwrap().slow, 50.0, 0.01));
 }
 
 #[test]
 fn a_former_life_of_a_rank_is_not_counted() {
-    let mut popularity = fed((0..10).map(|_| 50.0));
+    let mut popularity = observe_rates((0..10).map(|_| 50.0));
     let mut replaced = report(0, 0, 50.0);
     replaced.incarnation = Incarnation(2);
     popularity
@@ -125,38 +125,39 @@
 
 #[test]
 fn a_sudden_rise_is_a_burst_and_a_slow_one_is_not() {
-    let sudden = fed((0..610).map(|at| if at < 600 { 100.0 } else { 300.0 }));
+    let sudden = observe_rates((0..610).map(|at| if at < 600 { 100.0 } else { 300.0 }));
     let estimate = sudden.rate(CELL).unwrap();
     assert!(estimate.burst.is_some() && estimate.rate() > 200.0 && estimate.slow < 150.0);
     // The rate triples within two hours.
-    let slow = fed((0..7_200).map(|at| 100.0 * (1.0 + f64::from(at) / 3_600.0)));
+    let slow = observe_rates((0..7_200).map(|at| 100.0 * (1.0 + f64::from(at) / 3_600.0)));
     let estimate = slow.rate(CELL).unwrap();
-    assert!(estimate.burst.is_none() && close(estimate.slow, 300.0, 0.05));
-    // The rate doubles within twenty minutes: the slow rate lags far behind.
-    let drift = fed((0..1_200).map(|at| 300.0 * (1.0 + f64::from(at) / 1_200.0)));
+    assert!(estimate.burst.is_none() && is_close(estimate.slow, 300.0, 0.05));
+    // The rate doubles within twenty minutes, so the slow rate lags far behind.
+    let drift = observe_rates((0..1_200).map(|at| 300.0 * (1.0 + f64::from(at) / 1_200.0)));
     let estimate = drift.rate(CELL).unwrap();
     assert!(
         estimate.burst.is_none() && estimate.slow < 560.0,
         "{estimate:?}"
     );
-    assert!(close(estimate.rate(), 600.0, 0.03), "{estimate:?}");
+    assert!(is_close(estimate.rate(), 600.0, 0.03), "{estimate:?}");
 }
 
 #[test]
 fn a_steep_rise_is_followed_ahead_and_a_jump_is_not_overshot() {
-    // The rate rises eightfold within two minutes; thirty seconds of it pass.
+    // The rate rises eightfold within two minutes; the estimate is read after
+    // thirty seconds.
     let rise = |at: i32| 100.0 * (1.0 + 7.0 * f64::from((at - 600).max(0)) / 120.0);
-    let estimate = fed((0..630).map(rise)).rate(CELL).unwrap();
+    let estimate = observe_rates((0..630).map(rise)).rate(CELL).unwrap();
     assert!(estimate.fast < 0.95 * rise(630), "the fast rate alone lags");
-    assert!(close(estimate.rate(), rise(637), 0.1), "{estimate:?}");
-    let jump = fed((0..603).map(|at| if at < 600 { 100.0 } else { 600.0 }));
+    assert!(is_close(estimate.rate(), rise(637), 0.1), "{estimate:?}");
+    let jump = observe_rates((0..603).map(|at| if at < 600 { 100.0 } else { 600.0 }));
     let rate = jump.rate(CELL).unwrap().rate();
     assert!(rate > 400.0 && rate <= 600.0, "{rate}");
 }
 
 #[test]
 fn a_burst_ends_and_noise_makes_none() {
-    let over = fed((0..900).map(|at| {
+    let over = observe_rates((0..900).map(|at| {
         if (600..615).contains(&at) {
             300.0
         } else {
@@ -164,11 +165,11 @@
         }
     }));
     assert!(over.rate(CELL).unwrap().burst.is_none());
-    // Counts that jump by a third each second from the start are noise.
-    let noisy = fed((0..900).map(|at| if at % 2 == 0 { 80.0 } else { 120.0 }));
+    // Counts that alternate between 80 and 120 from the start are noise.
+    let noisy = observe_rates((0..900).map(|at| if at % 2 == 0 { 80.0 } else { 120.0 }));
     let estimate = noisy.rate(CELL).unwrap();
     assert!(estimate.burst.is_none());
-    let steady = fed((0..900).map(|_| 100.0)).rate(CELL).unwrap();
+    let steady = observe_rates((0..900).map(|_| 100.0)).rate(CELL).unwrap();
     assert!(estimate.fast_deviation > 2.0 * steady.fast_deviation);
 }
 
@@ -187,7 +188,7 @@
     }
     let speeds = popularity.speeds();
     assert!(
-        close(speeds[0], 1e5, 0.01) && close(speeds[1], 5e4, 0.01),
+        is_close(speeds[0], 1e5, 0.01) && is_close(speeds[1], 5e4, 0.01),
         "{speeds:?}"
     );
     assert!(speeds[2] > 0.0, "a rank without reports has a usual speed");
