--- a/crates/switch/src/ballot.rs
+++ b/crates/switch/src/ballot.rs
@@ -1,4 +1,4 @@
-//! The promises of a group's ranks.
+//! The set of ranks that have promised.
 
 use cactusnotch_derive::message;
 
@@ -6,7 +6,7 @@
 
 const WORD_BITS: usize = 64;
 
-/// The set of ranks that are known to have promised, a bit for each.
+/// The set of ranks that are known to have promised, as a bit set.
 #[message]
 #[derive(Default, Eq, Hash)]
 pub struct Ballot {
@@ -16,7 +16,7 @@
 impl Ballot {
     /// Adds a rank.
     pub fn insert(&mut self, rank: Rank) {
-        let (word, bit) = place(rank);
+        let (word, bit) = position(rank);
         if self.words.len() <= word {
             self.words.resize(word + 1, 0);
         }
@@ -33,14 +33,14 @@
         }
     }
 
-    /// Tells whether the rank is in the set.
+    /// Returns whether the rank is in the set.
     #[must_use]
     pub fn contains(&self, rank: Rank) -> bool {
-        let (word, bit) = place(rank);
+        let (word, bit) = position(rank);
         self.words.get(word).is_some_and(|bits| bits & bit != 0)
     }
 
-    /// Tells whether all ranks of a group of `size` are in the set.
+    /// Returns whether all ranks of a group of `size` are in the set.
     #[must_use]
     pub fn is_full(&self, size: usize) -> bool {
         let count: u32 = self.words.iter().map(|word| word.count_ones()).sum();
@@ -48,7 +48,7 @@
     }
 }
 
-const fn place(rank: Rank) -> (usize, u64) {
-    let at = rank.0 as usize;
-    (at / WORD_BITS, 1 << (at % WORD_BITS))
+const fn position(rank: Rank) -> (usize, u64) {
+    let index = rank.0 as usize;
+    (index / WORD_BITS, 1 << (index % WORD_BITS))
 }
--- a/crates/switch/src/coordinator.rs
+++ b/crates/switch/src/coordinator.rs
@@ -1,4 +1,4 @@
-//! The part of a group's coordinator in the agreement.
+//! The coordinator's side of the agreement.
 
 mod event;
 mod lease;
@@ -20,14 +20,15 @@
 
 pub use event::{Command, Ending, Event};
 
-/// How many retry times the coordinator waits for the ranks to use a map: they
-/// ask for an outcome that they lack, so only their last word can be lost.
+/// The retry intervals between repeats of a committed outcome. Ranks query for an
+/// outcome that they lack, so only their final `Applied` message can be lost.
 const APPLYING_RETRIES: u32 = 8;
 
-/// What the coordinator knows of the group's lease.
+/// The state of the group's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Tenure {
-    /// Another agent holds the lease, or none; seen first at this time.
+    /// Another agent holds the lease, or it is free. `seen` is its last version
+    /// and the time at which that was first read.
     Watching { seen: Option<(Version, Instant)> },
     /// This agent holds the lease.
     Holding {
@@ -37,11 +38,11 @@
     },
 }
 
-/// How far a switch has come.
+/// The stage of a switch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Stage {
     Idle,
-    /// Reading the group's object, to learn its size and epoch.
+    /// Reading the group's object for its size and epoch.
     Reading {
         digest: u64,
     },
@@ -50,20 +51,20 @@
         id: Id,
         map: Map,
     },
-    /// Waiting for the ranks to load weights; binds nobody.
+    /// Waiting for the ranks to load weights; not binding for them.
     Preparing {
         id: Id,
         map: Map,
         until: Instant,
         ready: Table<Rank, (u64, Step)>,
     },
-    /// Gathering votes.
+    /// Collecting votes.
     Voting {
         proposal: Proposal,
         ballot: Ballot,
         wakes: u32,
     },
-    /// Telling the ranks that the map is to be used.
+    /// Announcing to the ranks that the map is to be used.
     Applying {
         proposal: Proposal,
         applied: Ballot,
@@ -76,9 +77,10 @@
     },
 }
 
-/// The part of a group's coordinator: the holder of the group's lease.
+/// The state machine of a group's coordinator, the holder of the group's lease.
 ///
-/// It proposes and counts; it decides nothing that the ranks' votes do not.
+/// It proposes switches and counts votes. The outcome depends on the votes
+/// alone.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Coordinator {
     process: Process,
@@ -87,12 +89,12 @@
     stage: Stage,
     size: usize,
     sequence: Sequence,
-    /// The last outcome, for ranks that ask late.
+    /// The last outcome, for ranks that query after the switch has ended.
     last: Option<(Id, Verdict)>,
 }
 
 impl Coordinator {
-    /// Creates the part of `process`; [`Event::Start`] starts it.
+    /// Creates the coordinator of `process`; [`Event::Start`] starts it.
     #[must_use]
     pub const fn new(process: Process, options: Options) -> Self {
         Self {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Takes in `event` at `now` and returns what the driver is to do.
+    /// Handles `event` at `now` and returns the commands for the driver.
     pub fn step(&mut self, event: Event, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
         match event {
@@ -119,12 +121,12 @@
             Event::SwitchTo { digest } => self.switch_to(digest, &mut out),
             Event::Group { version, view } => self.group_read(version, view, &mut out),
             Event::MapRecorded(map) => self.map_recorded(map, now, &mut out),
-            Event::Message(message) => self.received(message, &mut out),
+            Event::Message(message) => self.handle_message(message, &mut out),
         }
         out
     }
 
-    /// Returns the fencing number, while this agent believes it has the lease.
+    /// Returns the fencing number while this agent holds the lease, as last read.
     #[must_use]
     pub const fn fence(&self) -> Option<Fence> {
         match &self.tenure {
@@ -133,15 +135,15 @@
         }
     }
 
-    /// Tells whether no switch is under way.
+    /// Returns whether no switch is under way.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.stage == Stage::Idle
     }
 
     fn wake(&mut self, now: Instant, out: &mut Vec<Command>) {
-        self.renew(now, out);
-        self.retry(now, out);
+        self.renew_lease(now, out);
+        self.resend(now, out);
         let pause = if self.is_idle() {
             self.options.lease / lease::RENEWALS_PER_LEASE
         } else if matches!(self.stage, Stage::Applying { .. }) {
@@ -152,40 +154,45 @@
         out.push(Command::Wake(pause));
     }
 
-    fn received(&mut self, message: Message, out: &mut Vec<Command>) {
+    fn handle_message(&mut self, message: Message, out: &mut Vec<Command>) {
         let Peer::Rank(from) = message.from else {
             return;
         };
         match message.body {
-            Body::Ready { id, view, next } => self.ready(from, id, view, next, out),
-            Body::Vote { id, vote } => self.voted(from, id, vote, out),
-            Body::Outcome { proposal, verdict } => self.learned(proposal.id, &verdict, out),
-            Body::Applied { id } => self.applied(from, id, out),
-            Body::Query { proposal, .. } => self.queried(from, proposal, out),
+            Body::Ready { id, view, next } => self.handle_ready(from, id, view, next, out),
+            Body::Vote { id, vote } => self.handle_vote(from, id, vote, out),
+            Body::Outcome { proposal, verdict } => self.apply_outcome(proposal.id, &verdict, out),
+            Body::Applied { id } => self.handle_applied(from, id, out),
+            Body::Query { proposal, .. } => self.handle_query(from, proposal, out),
             _ => {}
         }
     }
 
-    fn voted(&mut self, from: Rank, id: Id, vote: Vote, out: &mut Vec<Command>) {
+    fn handle_vote(&mut self, from: Rank, id: Id, vote: Vote, out: &mut Vec<Command>) {
         match vote {
-            Vote::Veto(reason) => self.vetoed(id, reason, out),
+            Vote::Veto(reason) => self.abort(id, reason, out),
             Vote::Promise => {
                 let mut promise = Ballot::default();
                 promise.insert(from);
-                self.promised(id, &promise, out);
+                self.add_promises(id, &promise, out);
             }
         }
     }
 
-    fn learned(&mut self, id: Id, verdict: &Verdict, out: &mut Vec<Command>) {
+    fn apply_outcome(&mut self, id: Id, verdict: &Verdict, out: &mut Vec<Command>) {
         match verdict {
-            Verdict::Open(ballot) => self.promised(id, ballot, out),
-            Verdict::Commit => self.committed(id, out),
-            Verdict::Abort => self.vetoed(id, Reason::Queried, out),
+            Verdict::Open(ballot) => self.add_promises(id, ballot, out),
+            Verdict::Commit => self.commit(id, out),
+            Verdict::Abort => self.abort(id, Reason::Queried, out),
         }
     }
 
-    fn tell_all(&self, ranks: impl IntoIterator<Item = Rank>, body: &Body, out: &mut Vec<Command>) {
+    fn send_to_ranks(
+        &self,
+        ranks: impl IntoIterator<Item = Rank>,
+        body: &Body,
+        out: &mut Vec<Command>,
+    ) {
         let Some(fence) = self.fence() else {
             return;
         };
--- a/crates/switch/src/coordinator/event.rs
+++ b/crates/switch/src/coordinator/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a coordinator, and what it asks of its driver.
+//! The inputs of a coordinator and the commands to its driver.
 
 use std::time::Duration;
 
@@ -11,37 +11,38 @@
 use crate::proposal::Id;
 use crate::view::{Rank, View};
 
-/// What happens to a coordinator.
+/// An input of a coordinator.
 #[record]
 #[derive(Hash)]
 pub enum Event {
     /// The process has started.
     Start,
-    /// The time of the last [`Command::Wake`] has come.
+    /// The timer set by the last [`Command::Wake`] has expired.
     Wake,
     /// The lease was read, after a [`Command::ReadLease`] or after the attempt
-    /// of a [`Command::WriteLease`], whatever came of it.
+    /// of a [`Command::WriteLease`], whether or not the write succeeded.
     Lease(Option<(Version, Lease)>),
-    /// The group shall go over to the map with this content.
+    /// The group is to switch to the map with this content.
     SwitchTo {
         /// A digest of the map's content.
         digest: u64,
     },
     /// The group's object was read, after a [`Command::ReadGroup`] or after
-    /// the attempt of a [`Command::WriteGroup`], whatever came of it.
+    /// the attempt of a [`Command::WriteGroup`], whether or not the write
+    /// succeeded.
     Group {
         /// The version of the object.
         version: Version,
         /// The view it holds.
         view: View,
     },
-    /// The content of the map is on the platform.
+    /// The content of the map is stored on the platform.
     MapRecorded(Map),
-    /// A message of a rank came.
+    /// A message of a rank was received.
     Message(Message),
 }
 
-/// What a coordinator asks of its driver.
+/// A command of a coordinator to its driver.
 #[record]
 #[derive(Hash)]
 pub enum Command {
@@ -72,12 +73,12 @@
         /// The message.
         message: Message,
     },
-    /// Bring [`Event::Wake`] after this time. Of several, the shortest counts,
-    /// and any wake clears the others.
+    /// Deliver [`Event::Wake`] after this time. If several are pending, the
+    /// earliest one fires and clears the others.
     Wake(Duration),
     /// The switch has ended.
     Ended(Ending),
-    /// Another agent holds the lease now.
+    /// Another agent holds the lease.
     LeaseLost,
 }
 
@@ -89,6 +90,6 @@
     Applied(Id, Map),
     /// A rank vetoed, and no rank ever uses the map.
     Vetoed(Id, Reason),
-    /// It was given up before it was proposed.
+    /// The switch was abandoned before it was proposed.
     Abandoned,
 }
--- a/crates/switch/src/coordinator/lease.rs
+++ b/crates/switch/src/coordinator/lease.rs
@@ -1,4 +1,4 @@
-//! Taking, renewing and losing the lease.
+//! Acquiring, renewing and losing the lease.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::number::{Fence, Sequence};
@@ -7,12 +7,13 @@
 use super::{Command, Coordinator, Stage, Tenure};
 use crate::lease::Lease;
 
-/// How often a holder renews in the time that its lease lasts.
+/// The number of renewals per lease duration.
 pub(super) const RENEWALS_PER_LEASE: u32 = 3;
 
 impl Coordinator {
-    /// Renews the lease if it is due, or looks whether it has lapsed.
-    pub(super) fn renew(&self, now: Instant, out: &mut Vec<Command>) {
+    /// Renews the lease if renewal is due, or reads the lease of another holder
+    /// to detect its expiry.
+    pub(super) fn renew_lease(&self, now: Instant, out: &mut Vec<Command>) {
         match &self.tenure {
             Tenure::Watching { .. } => out.push(Command::ReadLease),
             Tenure::Holding {
@@ -47,18 +48,23 @@
                     renewed: now,
                 };
             }
-            found => self.watch(found, now, out),
+            found => self.watch_lease(found, now, out),
         }
     }
 
-    fn watch(&mut self, found: Option<(Version, Lease)>, now: Instant, out: &mut Vec<Command>) {
+    fn watch_lease(
+        &mut self,
+        found: Option<(Version, Lease)>,
+        now: Instant,
+        out: &mut Vec<Command>,
+    ) {
         if matches!(self.tenure, Tenure::Holding { .. }) {
             self.stage = Stage::Idle;
             self.tenure = Tenure::Watching { seen: None };
             out.push(Command::LeaseLost);
         }
         let version = found.as_ref().map(|(version, _)| *version);
-        if self.has_lapsed(version, now) {
+        if self.has_expired(version, now) {
             let fence = found.map_or(Fence(0), |(_, lease)| lease.fence);
             self.sequence = Sequence(0);
             let lease = Lease {
@@ -70,8 +76,9 @@
         }
     }
 
-    /// Tells whether the lease is free, or was not renewed for its duration.
-    fn has_lapsed(&mut self, version: Option<Version>, now: Instant) -> bool {
+    /// Returns whether the lease is free, or has not been renewed for its
+    /// duration.
+    fn has_expired(&mut self, version: Option<Version>, now: Instant) -> bool {
         let Some(version) = version else {
             return true;
         };
--- a/crates/switch/src/coordinator/round.rs
+++ b/crates/switch/src/coordinator/round.rs
@@ -1,4 +1,4 @@
-//! One switch, from the wanted map to the recorded one.
+//! One switch, from the request to the recorded map.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::Instant;
@@ -28,7 +28,7 @@
         match self.stage {
             Stage::Reading { digest } => {
                 let epoch = view.base.map.epoch.next();
-                self.record(Map { epoch, digest }, out);
+                self.record_map(Map { epoch, digest }, out);
             }
             Stage::Closing { map, ending } if view.base.map.epoch >= map.epoch => {
                 self.end(ending, out);
@@ -43,7 +43,7 @@
         }
     }
 
-    fn record(&mut self, map: Map, out: &mut Vec<Command>) {
+    fn record_map(&mut self, map: Map, out: &mut Vec<Command>) {
         let Some(fence) = self.fence() else {
             return;
         };
@@ -65,13 +65,13 @@
                 until: now + self.options.prepare,
                 ready: Table::new(),
             };
-            self.retry(now, out);
+            self.resend(now, out);
         }
     }
 
-    /// Repeats what has not been answered. The first wake in a stage may come
-    /// at once and repeats nothing.
-    pub(super) fn retry(&mut self, now: Instant, out: &mut Vec<Command>) {
+    /// Resends the requests that have not been answered. The first wake in a
+    /// stage may fire at once, so it resends nothing.
+    pub(super) fn resend(&mut self, now: Instant, out: &mut Vec<Command>) {
         match &mut self.stage {
             Stage::Idle => {}
             Stage::Reading { .. } | Stage::Closing { .. } => out.push(Command::ReadGroup),
@@ -79,15 +79,15 @@
             Stage::Preparing { until, .. } if now >= *until => self.end(Ending::Abandoned, out),
             Stage::Preparing { id, map, ready, .. } => {
                 let body = Body::Prepare { id: *id, map: *map };
-                let lacking = lacking(self.size, |rank| ready.contains(&rank));
-                self.tell_all(lacking, &body, out);
+                let missing = missing(self.size, |rank| ready.contains(&rank));
+                self.send_to_ranks(missing, &body, out);
             }
             Stage::Voting { wakes, .. } | Stage::Applying { wakes, .. } if *wakes == 0 => {
                 *wakes += 1;
             }
             Stage::Voting { wakes, .. } => {
                 *wakes += 1;
-                self.ask_votes(out);
+                self.request_votes(out);
             }
             Stage::Applying {
                 proposal, applied, ..
@@ -96,15 +96,16 @@
                     proposal: *proposal,
                     verdict: Verdict::Commit,
                 };
-                let lacking = lacking(self.size, |rank| applied.contains(rank));
-                self.tell_all(lacking, &body, out);
+                let missing = missing(self.size, |rank| applied.contains(rank));
+                self.send_to_ranks(missing, &body, out);
             }
         }
     }
 
-    /// Proposes to the ranks that have not voted, and in the end asks them
-    /// for the outcome, so that they veto if they have not promised.
-    fn ask_votes(&self, out: &mut Vec<Command>) {
+    /// Sends the proposal to the ranks that have not voted. After the configured
+    /// number of repeats, queries them for the outcome instead, which makes
+    /// ranks that have not promised veto.
+    fn request_votes(&self, out: &mut Vec<Command>) {
         let Stage::Voting {
             proposal,
             ballot,
@@ -122,12 +123,12 @@
         } else {
             Body::Propose(*proposal)
         };
-        let lacking = lacking(self.size, |rank| ballot.contains(rank));
-        self.tell_all(lacking, &body, out);
+        let missing = missing(self.size, |rank| ballot.contains(rank));
+        self.send_to_ranks(missing, &body, out);
     }
 
-    /// Proposes the switch once every rank of one view has loaded its weights.
-    pub(super) fn ready(
+    /// Proposes the switch once every rank has loaded its weights in one view.
+    pub(super) fn handle_ready(
         &mut self,
         from: Rank,
         id: Id,
@@ -165,11 +166,11 @@
             ballot: Ballot::default(),
             wakes: 0,
         };
-        self.ask_votes(out);
+        self.request_votes(out);
         out.push(Command::Wake(self.options.retry));
     }
 
-    pub(super) fn promised(&mut self, id: Id, promises: &Ballot, out: &mut Vec<Command>) {
+    pub(super) fn add_promises(&mut self, id: Id, promises: &Ballot, out: &mut Vec<Command>) {
         let Stage::Voting {
             proposal, ballot, ..
         } = &mut self.stage
@@ -179,12 +180,12 @@
         if proposal.id == id {
             ballot.merge(promises);
             if ballot.is_full(self.size) {
-                self.committed(id, out);
+                self.commit(id, out);
             }
         }
     }
 
-    pub(super) fn committed(&mut self, id: Id, out: &mut Vec<Command>) {
+    pub(super) fn commit(&mut self, id: Id, out: &mut Vec<Command>) {
         let Stage::Voting { proposal, .. } = self.stage else {
             return;
         };
@@ -201,10 +202,10 @@
     fn announce(&mut self, proposal: Proposal, verdict: Verdict, out: &mut Vec<Command>) {
         self.last = Some((proposal.id, verdict.clone()));
         let body = Body::Outcome { proposal, verdict };
-        self.tell_all(lacking(self.size, |_| false), &body, out);
+        self.send_to_ranks(missing(self.size, |_| false), &body, out);
     }
 
-    pub(super) fn vetoed(&mut self, id: Id, reason: Reason, out: &mut Vec<Command>) {
+    pub(super) fn abort(&mut self, id: Id, reason: Reason, out: &mut Vec<Command>) {
         match self.stage {
             Stage::Preparing { id: open, .. } if open == id => {}
             Stage::Voting { proposal, .. } | Stage::Applying { proposal, .. }
@@ -216,12 +217,12 @@
         }
         let ending = Ending::Vetoed(id, reason);
         match reason {
-            Reason::Epoch(current) => self.close(current.map, ending, out),
+            Reason::Epoch(current) => self.record_in_force(current.map, ending, out),
             _ => self.end(ending, out),
         }
     }
 
-    pub(super) fn applied(&mut self, from: Rank, id: Id, out: &mut Vec<Command>) {
+    pub(super) fn handle_applied(&mut self, from: Rank, id: Id, out: &mut Vec<Command>) {
         let Stage::Applying {
             proposal, applied, ..
         } = &mut self.stage
@@ -234,18 +235,18 @@
         applied.insert(from);
         if applied.is_full(self.size) {
             let map = proposal.switch.map;
-            self.close(map, Ending::Applied(id, map), out);
+            self.record_in_force(map, Ending::Applied(id, map), out);
         }
     }
 
     /// Records the map in force on the platform.
-    fn close(&mut self, map: Map, ending: Ending, out: &mut Vec<Command>) {
+    fn record_in_force(&mut self, map: Map, ending: Ending, out: &mut Vec<Command>) {
         self.stage = Stage::Closing { map, ending };
         out.push(Command::ReadGroup);
     }
 
-    /// Answers a rank that asks for an outcome.
-    pub(super) fn queried(&self, from: Rank, proposal: Proposal, out: &mut Vec<Command>) {
+    /// Answers a rank that queries for an outcome.
+    pub(super) fn handle_query(&self, from: Rank, proposal: Proposal, out: &mut Vec<Command>) {
         let verdict = match (&self.stage, &self.last) {
             (
                 Stage::Voting {
@@ -258,12 +259,12 @@
             (_, Some((last, verdict))) if *last == proposal.id => verdict.clone(),
             _ => return,
         };
-        self.tell_all([from], &Body::Outcome { proposal, verdict }, out);
+        self.send_to_ranks([from], &Body::Outcome { proposal, verdict }, out);
     }
 }
 
-/// Returns the ranks of a group of `size` for which `has` does not hold.
-fn lacking(size: usize, has: impl Fn(Rank) -> bool) -> Vec<Rank> {
+/// Returns the ranks of a group of `size` for which `has` returns false.
+fn missing(size: usize, has: impl Fn(Rank) -> bool) -> Vec<Rank> {
     let size = u16::try_from(size).unwrap_or(u16::MAX);
     (0..size).map(Rank).filter(|rank| !has(*rank)).collect()
 }
--- a/crates/switch/src/engine.rs
+++ b/crates/switch/src/engine.rs
@@ -1,4 +1,4 @@
-//! Orders to a rank's engine and the state it reports.
+//! The orders to a rank's engine and the state that it reports.
 
 use cactusnotch_base::number::Step;
 use cactusnotch_derive::{message, number};
@@ -15,15 +15,16 @@
     pub expert: u16,
 }
 
-/// What a rank's engine is to do.
+/// An action that a rank's engine is ordered to carry out.
 #[message]
 #[derive(Copy, Eq, Hash)]
 pub enum Action {
-    /// Do not start the step until it is released; refused once started.
+    /// Do not start the step until it is released. Refused if the step has
+    /// started.
     Hold(Step),
-    /// Start the step when its time comes.
+    /// Start the step when it is due.
     Release(Step),
-    /// Use a map from a step on, in place of any map set from a later step.
+    /// Use a map from a step on, replacing any map set from a later step.
     Use(Switch),
     /// Load the weights of an expert.
     Load(Expert),
@@ -35,15 +36,15 @@
 #[message]
 #[derive(Eq, Hash)]
 pub struct State {
-    /// Distinguishes the engine process from former ones at its place.
+    /// The incarnation of the engine process at this rank.
     pub life: u64,
     /// The next step that the engine will start.
     pub next: Step,
     /// Whether this engine process has started any step.
     pub started: bool,
-    /// The steps that are held. A new engine holds its first step.
+    /// The held steps. A new engine holds its first step.
     pub holds: Vec<Step>,
-    /// The map in force and those set from later steps, in order of steps.
+    /// The map in force and the maps set from later steps, in order of steps.
     pub plan: Vec<Switch>,
     /// The experts that are loaded, in order.
     pub experts: Vec<Expert>,
@@ -52,7 +53,8 @@
 }
 
 impl State {
-    /// Returns the map with which the engine has started a step.
+    /// Returns the map that the last started step used, or `None` if no step has
+    /// started.
     #[must_use]
     pub fn current(&self) -> Option<Switch> {
         let mut plan = self.plan.iter().rev().copied();
@@ -68,8 +70,8 @@
             .filter(|set| set.from >= self.next)
     }
 
-    /// Tells whether the engine is without part in the group so far: it has
-    /// started no step and will not by itself.
+    /// Returns whether the engine has started no step and holds its next one, so
+    /// it does not take part in the group until that step is released.
     #[must_use]
     pub fn is_awaiting_start(&self) -> bool {
         !self.started && self.holds.contains(&self.next)
--- a/crates/switch/src/lease.rs
+++ b/crates/switch/src/lease.rs
@@ -4,14 +4,14 @@
 use cactusnotch_base::number::Fence;
 use cactusnotch_derive::message;
 
-/// The object on the platform that names a group's coordinator.
+/// The platform object that names a group's coordinator.
 #[message]
 #[derive(Eq, Hash)]
 pub struct Lease {
-    /// The fencing number; each holder has a larger one.
+    /// The fencing number, which increases with each holder.
     pub fence: Fence,
     /// The holder.
     pub process: Process,
-    /// How often the holder has renewed.
+    /// The number of renewals by the holder.
     pub renewals: u64,
 }
--- a/crates/switch/src/map.rs
+++ b/crates/switch/src/map.rs
@@ -1,9 +1,10 @@
-//! Expert maps by name, and from which step each is used.
+//! References to expert maps, and the step from which each is used.
 
 use cactusnotch_base::number::{Epoch, Step};
 use cactusnotch_derive::number;
 
-/// An expert map of a group; its content is an object of the platform.
+/// A reference to an expert map of a group. The content of the map is a platform
+/// object.
 #[number]
 pub struct Map {
     /// The number of the map within its group.
--- a/crates/switch/src/message.rs
+++ b/crates/switch/src/message.rs
@@ -8,14 +8,14 @@
 use crate::proposal::{Id, Proposal};
 use crate::view::{Rank, View};
 
-/// An agent of the group in one of its parts.
+/// An agent of the group in one of its roles.
 #[message]
 #[derive(Copy, Eq, PartialOrd, Ord, Hash)]
 pub enum Peer {
     /// The agent of a rank.
     Rank(Rank),
-    /// The coordinator with this fencing number; a driver sends to where it
-    /// has heard it from.
+    /// The coordinator with this fencing number. A driver sends to the address
+    /// from which it last received a message of that coordinator.
     Coordinator(Fence),
 }
 
@@ -25,17 +25,17 @@
 pub struct Message {
     /// The sender.
     pub from: Peer,
-    /// The number of the view that the sender knows; zero from a coordinator.
+    /// The number of the sender's view; zero from a coordinator.
     pub view: u64,
-    /// What is said.
+    /// The content.
     pub body: Body,
 }
 
-/// What a message says.
+/// The content of a message.
 #[message]
 #[derive(Eq, Hash)]
 pub enum Body {
-    /// Coordinator to rank: load what `map` needs. Binds nobody.
+    /// Coordinator to rank: load the experts of `map`. Not binding.
     Prepare {
         /// The identity that the proposal will have.
         id: Id,
@@ -48,7 +48,7 @@
         id: Id,
         /// The view of the rank.
         view: u64,
-        /// The next step that the rank's engine starts.
+        /// The next step that the rank's engine will start.
         next: Step,
     },
     /// Coordinator to rank: vote on the proposal.
@@ -65,31 +65,32 @@
         /// The proposal.
         id: Id,
     },
-    /// A promised rank, or the coordinator, asks for the outcome.
+    /// A rank that has promised, or the coordinator, asks for the outcome.
     Query {
         /// The proposal.
         proposal: Proposal,
-        /// The promises that the sender knows of.
+        /// The promises that the sender has observed.
         ballot: Ballot,
-        /// Whether the sender waits for the outcome: a rank that has not
+        /// Whether the sender is blocked on the outcome. A rank that has not
         /// promised then vetoes at once.
         urgent: bool,
     },
-    /// The outcome as far as the sender knows it, announced by the
-    /// coordinator or in answer to a query.
+    /// The outcome from the sender's point of view, announced by the coordinator
+    /// or in answer to a query.
     Outcome {
         /// The proposal.
         proposal: Proposal,
-        /// The outcome as far as the sender knows it.
+        /// The outcome from the sender's point of view.
         verdict: Verdict,
     },
-    /// A new process of a rank asks what the others know in this view.
+    /// A new process of a rank asks the others for their decided switches in
+    /// this view.
     Join(View),
     /// The answer to a join.
     Report(Report),
-    /// The sender lacks the receiver's view.
+    /// The sender's view is older than the receiver's.
     Behind,
-    /// The view that the sender knows.
+    /// The sender's view.
     View(View),
 }
 
@@ -97,9 +98,10 @@
 #[message]
 #[derive(Copy, Eq, Hash)]
 pub enum Vote {
-    /// The rank's engine waits before the hold step until the outcome is known.
+    /// The rank's engine does not start the hold step until the outcome is
+    /// known.
     Promise,
-    /// The rank never promises.
+    /// The rank will never promise this proposal.
     Veto(Reason),
 }
 
@@ -111,21 +113,22 @@
     Busy,
     /// The rank is in another view.
     View,
-    /// The epoch does not follow the rank's, which is given.
+    /// The proposed epoch does not follow that of the rank's current map, which
+    /// is given.
     Epoch(Switch),
-    /// The engine has come too far for the hold step, or refused to wait.
+    /// The engine has passed the hold step, or refused to hold it.
     Late,
     /// The weights are not loaded.
     Unprepared,
-    /// The outcome was asked for before the rank had promised.
+    /// The outcome was queried before the rank had promised.
     Queried,
 }
 
-/// The outcome of a proposal as far as it is known.
+/// The outcome of a proposal, from one agent's point of view.
 #[message]
 #[derive(Eq, Hash)]
 pub enum Verdict {
-    /// Not known; the promises that are known.
+    /// Undecided; the promises observed so far.
     Open(Ballot),
     /// Every rank promised: the map is used from the proposed step.
     Commit,
@@ -133,25 +136,26 @@
     Abort,
 }
 
-/// What an agent knows when a view begins; it holds for that whole view.
+/// An agent's decided switches at the start of a view. The report stays valid
+/// for the whole view.
 #[message]
 #[derive(Copy, Eq, Hash)]
 pub enum Report {
-    /// Nothing: the agent itself asks.
+    /// None: the agent is joining as well.
     Joining,
-    /// The agent has a part in the group.
+    /// Those of an active agent.
     Standing(Decisions),
 }
 
-/// The decided switches that an agent with a part in the group knows.
+/// The decided switches of an active agent.
 #[message]
 #[derive(Copy, Eq, Hash)]
 pub struct Decisions {
-    /// The map that was in force before.
+    /// The map that was in force before `current`.
     pub previous: Option<Switch>,
     /// The map in force.
     pub current: Switch,
-    /// The switch that is decided and not yet in force.
+    /// The switch that is committed but not yet in force.
     pub committed: Option<Switch>,
 }
 
--- a/crates/switch/src/options.rs
+++ b/crates/switch/src/options.rs
@@ -1,28 +1,30 @@
-//! Times and margins of the agreement.
+//! The timing parameters of the agreement.
 
 use std::time::Duration;
 
 use cactusnotch_derive::record;
 
-/// Times and margins of the agreement.
+/// The timing parameters of the agreement.
 #[record]
 #[derive(Copy, Hash)]
 pub struct Options {
-    /// How the rank's engine is to be ordered.
+    /// The options for orders to the rank's engine.
     pub orders: cactusnotch_order::Options,
-    /// How long an answer of a peer or of the platform is awaited.
+    /// How long to wait for an answer of a peer or of the platform before a
+    /// retry.
     pub retry: Duration,
-    /// How often an agent with nothing to do reads its engine.
+    /// The interval at which an idle agent reads the state of its engine.
     pub poll: Duration,
-    /// How long a coordinator's lease lasts without renewal.
+    /// The duration of a coordinator's lease without renewal.
     pub lease: Duration,
-    /// How long a coordinator waits for the ranks to load weights.
+    /// How long a coordinator waits for the ranks to load weights before it
+    /// abandons the switch.
     pub prepare: Duration,
-    /// How many steps ahead of the furthest rank a proposal sets its hold
-    /// step: enough for a proposal, a vote and an outcome.
+    /// The distance in steps from the furthest rank to the hold step of a
+    /// proposal. It must cover a proposal, a vote and an outcome.
     pub lead: u64,
-    /// How often a coordinator repeats a proposal before it asks the ranks
-    /// that have not voted for the outcome, which makes them veto.
+    /// The number of times that a coordinator repeats a proposal before it
+    /// queries the ranks that have not voted, which makes them veto.
     pub repeats: u32,
 }
 
--- a/crates/switch/src/proposal.rs
+++ b/crates/switch/src/proposal.rs
@@ -1,4 +1,4 @@
-//! A proposed switch to another map.
+//! Proposals of a switch to another map.
 
 use cactusnotch_base::number::{Fence, Sequence, Step};
 use cactusnotch_derive::{message, number};
@@ -6,18 +6,18 @@
 
 use crate::map::Switch;
 
-/// The identity of a proposal; later ones are larger.
+/// The identity of a proposal. Later proposals have larger ones.
 #[number]
 #[derive(Display)]
 #[display("{fence}.{sequence}")]
 pub struct Id {
-    /// The fencing number of the coordinator that proposes.
+    /// The fencing number of the proposing coordinator.
     pub fence: Fence,
     /// The position among the coordinator's proposals.
     pub sequence: Sequence,
 }
 
-/// A proposed switch, on which every rank votes.
+/// A proposed switch on which every rank votes.
 #[message]
 #[derive(Copy, Eq, Hash)]
 pub struct Proposal {
@@ -30,8 +30,8 @@
 }
 
 impl Proposal {
-    /// Returns the step before the switch, at which the ranks wait until they
-    /// know the outcome.
+    /// Returns the step before the switch, which the ranks do not start until
+    /// they have the outcome.
     #[must_use]
     pub const fn hold_step(&self) -> Step {
         Step(self.switch.from.0 - 1)
--- a/crates/switch/src/rank.rs
+++ b/crates/switch/src/rank.rs
@@ -1,4 +1,4 @@
-//! The part of a rank's agent in the agreement.
+//! A rank's side of the agreement.
 
 mod engine;
 mod enrol;
@@ -25,27 +25,28 @@
 
 pub use event::{Command, Event, Retirement};
 
-/// How far an agent has come with its part in the group.
+/// The phase of a member.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Phase {
-    /// Taking the rank's seat; `former` is the process that was seen there,
-    /// if it was `seen`, and `written` tells whether a write was tried since.
+    /// Taking the rank's seat. `former` is the process that held it when it was
+    /// first read, if it was (`seen`); `written` is whether a write has been
+    /// attempted since.
     Enrolling {
         seen: bool,
         former: Option<Process>,
         written: bool,
     },
-    /// Taking the engine over and reading it.
+    /// Taking over the engine and reading its state.
     Recovering,
-    /// Asking the other ranks what they know; `founds` tells whether this one
-    /// has tried to start a new generation.
+    /// Requesting the reports of the other ranks. `starts_generation` is whether
+    /// this member has attempted to start a new generation.
     Joining {
         reports: Table<Rank, Report>,
-        founds: bool,
+        starts_generation: bool,
     },
-    /// A part in the group.
+    /// Taking part in the group.
     Active,
-    /// Replaced, or its engine is gone: does nothing any more.
+    /// Replaced, or the engine process has ended; ignores all events.
     Retired,
 }
 
@@ -53,21 +54,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Open {
     Nothing,
-    /// The engine has been told to wait and has not confirmed it.
+    /// The engine was ordered to hold the step and has not confirmed it.
     Holding(Proposal),
-    /// The rank has promised and the outcome is not known.
+    /// The rank has promised, and the outcome is unknown.
     Promised {
         proposal: Proposal,
         ballot: Ballot,
     },
-    /// The outcome is to switch; no step has started with the new map.
+    /// The switch is committed; no step has started with the new map.
     Committed {
         id: Option<Id>,
         switch: Switch,
     },
 }
 
-/// The map that a coordinator has asked the rank to load.
+/// The map that a coordinator has requested the rank to load.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Prepared {
     id: Id,
@@ -75,9 +76,9 @@
     ready: bool,
 }
 
-/// The part of a rank's agent in the agreement.
+/// The state machine of a rank's agent in the agreement.
 ///
-/// A driver hands it [`Event`]s and carries out its [`Command`]s.
+/// A driver passes it [`Event`]s and carries out its [`Command`]s.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Member {
     rank: Rank,
@@ -94,18 +95,18 @@
     current: Switch,
     open: Open,
     prepared: Option<Prepared>,
-    /// The largest proposal that was accepted or vetoed.
+    /// The largest identity of a proposal that was accepted or vetoed.
     highest: Id,
-    /// The last step that was held; never held again.
+    /// The last step that was held. No step up to it is held again.
     last_hold: Step,
-    /// The experts of the maps that matter now.
+    /// The experts of the maps in force or under way.
     experts: Table<Map, Vec<Expert>>,
-    /// The wakes since the rank promised.
+    /// The number of wakes since the rank promised.
     wakes: u32,
 }
 
 impl Member {
-    /// Creates the part of `process` for `rank`; [`Event::Start`] starts it.
+    /// Creates the member of `process` for `rank`; [`Event::Start`] starts it.
     #[must_use]
     pub fn new(rank: Rank, process: Process, options: Options) -> Self {
         Self {
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Takes in `event` at `now` and returns what the driver is to do.
+    /// Handles `event` at `now` and returns the commands for the driver.
     pub fn step(&mut self, event: Event, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
         if self.phase == Phase::Retired {
@@ -143,33 +144,33 @@
             Event::Wake => self.wake(now, &mut out),
             Event::Group { version, view } => self.group_read(version, view, now, &mut out),
             Event::Experts { map, experts } => self.experts_read(map, experts, now, &mut out),
-            Event::Engine(answer) => self.engine_answered(answer, now, &mut out),
-            Event::Message(message) => self.received(message, now, &mut out),
+            Event::Engine(answer) => self.handle_engine(answer, now, &mut out),
+            Event::Message(message) => self.handle_message(message, now, &mut out),
         }
         out
     }
 
-    /// Returns the rank of this part.
+    /// Returns the rank of this member.
     #[must_use]
     pub const fn rank(&self) -> Rank {
         self.rank
     }
 
-    /// Returns the view that the rank knows, by which a driver finds the
-    /// processes of the other ranks.
+    /// Returns the member's view, in which a driver looks up the processes of
+    /// the other ranks.
     #[must_use]
     pub const fn view(&self) -> &View {
         &self.view
     }
 
-    /// Returns the map in force, once the rank has a part in the group.
+    /// Returns the map in force, once the rank takes part in the group.
     #[must_use]
     pub fn current(&self) -> Option<Switch> {
         (self.phase == Phase::Active).then_some(self.current)
     }
 
-    /// Returns the proposal on which the rank has promised and whose outcome
-    /// it does not know.
+    /// Returns the proposal that the rank has promised and whose outcome is
+    /// still unknown.
     #[must_use]
     pub fn promised(&self) -> Option<&Proposal> {
         match &self.open {
@@ -178,13 +179,14 @@
         }
     }
 
-    /// Tells whether a newer process or a new engine has ended this part.
+    /// Returns whether this member was retired because of a newer process or a
+    /// new engine.
     #[must_use]
     pub fn is_retired(&self) -> bool {
         self.phase == Phase::Retired
     }
 
-    /// Tells whether the part waits for nothing but new proposals.
+    /// Returns whether the member waits only for new proposals.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         let done = self.phase == Phase::Active && self.open == Open::Nothing;
@@ -197,15 +199,15 @@
         match &self.phase {
             Phase::Enrolling { .. } => self.enrol(out),
             Phase::Recovering => {}
-            Phase::Joining { .. } => self.ask_reports(out),
-            Phase::Active => self.ask_outcome(out),
+            Phase::Joining { .. } => self.request_reports(out),
+            Phase::Active => self.query_outcome(out),
             Phase::Retired => return,
         }
         self.wake_sender(now, out);
-        self.sleep(out);
+        self.schedule_wake(out);
     }
 
-    fn sleep(&self, out: &mut Vec<Command>) {
+    fn schedule_wake(&self, out: &mut Vec<Command>) {
         let pause = if self.is_idle() {
             self.options.poll
         } else {
@@ -214,14 +216,14 @@
         out.push(Command::Wake(pause));
     }
 
-    fn received(&mut self, message: Message, now: Instant, out: &mut Vec<Command>) {
+    fn handle_message(&mut self, message: Message, now: Instant, out: &mut Vec<Command>) {
         match message.from {
-            Peer::Rank(rank) => self.received_from_rank(rank, message, now, out),
-            Peer::Coordinator(_) => self.received_from_coordinator(message, now, out),
+            Peer::Rank(rank) => self.handle_rank_message(rank, message, now, out),
+            Peer::Coordinator(_) => self.handle_coordinator_message(message, now, out),
         }
     }
 
-    fn received_from_rank(
+    fn handle_rank_message(
         &mut self,
         from: Rank,
         message: Message,
@@ -237,30 +239,31 @@
         match message.view.cmp(&self.view.number) {
             Ordering::Less => self.reply(Body::View(self.view.clone()), out),
             Ordering::Greater => self.reply(Body::Behind, out),
-            Ordering::Equal => self.received_in_view(from, message.body, now, out),
+            Ordering::Equal => self.handle_in_view(from, message.body, now, out),
         }
     }
 
-    fn received_in_view(&mut self, from: Rank, body: Body, now: Instant, out: &mut Vec<Command>) {
+    fn handle_in_view(&mut self, from: Rank, body: Body, now: Instant, out: &mut Vec<Command>) {
         match body {
-            Body::Join(_) => self.report(from, out),
-            Body::Report(report) => self.reported(from, report, now, out),
+            Body::Join(_) => self.send_report(from, out),
+            Body::Report(report) => self.handle_report(from, report, now, out),
             Body::Query {
                 proposal,
                 ballot,
                 urgent,
             } => {
-                self.queried(&proposal, &ballot, urgent, now, out);
-                self.answer(Peer::Rank(from), &proposal, out);
+                self.handle_query(&proposal, &ballot, urgent, now, out);
+                self.send_outcome(Peer::Rank(from), &proposal, out);
             }
-            Body::Outcome { proposal, verdict } => self.learned(&proposal, verdict, now, out),
+            Body::Outcome { proposal, verdict } => self.apply_outcome(&proposal, verdict, now, out),
             _ => {}
         }
     }
 
-    /// Takes in a coordinator's message. A commit counts only in the view of
-    /// the proposal: in a later one, ranks have already said what they know.
-    fn received_from_coordinator(
+    /// Handles a coordinator's message. A commit is valid only in the view of
+    /// the proposal: in a later view the ranks have already exchanged reports,
+    /// which settle the proposal.
+    fn handle_coordinator_message(
         &mut self,
         message: Message,
         now: Instant,
@@ -270,27 +273,27 @@
             return;
         }
         match message.body {
-            Body::Prepare { id, map } => self.prepare(id, map, now, out),
-            Body::Propose(proposal) => self.propose(&proposal, now, out),
+            Body::Prepare { id, map } => self.handle_prepare(id, map, now, out),
+            Body::Propose(proposal) => self.handle_proposal(&proposal, now, out),
             Body::Query {
                 proposal,
                 ballot,
                 urgent,
             } => {
-                self.queried(&proposal, &ballot, urgent, now, out);
-                self.answer(message.from, &proposal, out);
+                self.handle_query(&proposal, &ballot, urgent, now, out);
+                self.send_outcome(message.from, &proposal, out);
             }
             Body::Outcome { proposal, verdict }
                 if verdict == Verdict::Commit && proposal.view < self.view.number =>
             {
-                self.contradict(proposal, out);
+                self.correct_coordinator(proposal, out);
             }
-            Body::Outcome { proposal, verdict } => self.learned(&proposal, verdict, now, out),
+            Body::Outcome { proposal, verdict } => self.apply_outcome(&proposal, verdict, now, out),
             _ => {}
         }
     }
 
-    fn tell(&self, to: Peer, body: Body, out: &mut Vec<Command>) {
+    fn send(&self, to: Peer, body: Body, out: &mut Vec<Command>) {
         let message = self.message(body);
         out.push(Command::Send { to, message });
     }
@@ -307,9 +310,9 @@
         }
     }
 
-    fn retire(&mut self, why: Retirement, out: &mut Vec<Command>) {
+    fn retire(&mut self, reason: Retirement, out: &mut Vec<Command>) {
         self.phase = Phase::Retired;
         self.sender = None;
-        out.push(Command::Retire(why));
+        out.push(Command::Retire(reason));
     }
 }
--- a/crates/switch/src/rank/engine.rs
+++ b/crates/switch/src/rank/engine.rs
@@ -1,4 +1,4 @@
-//! Bringing the engine to what the agreement says.
+//! Reconciliation of the engine's state with the decided state.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::number::Step;
@@ -10,8 +10,8 @@
 use crate::message::{Body, Peer, Reason};
 
 impl Member {
-    /// Hands an event to the sender of orders and acts on what it settles.
-    pub(super) fn order(
+    /// Passes an event to the sender of orders and carries out its commands.
+    pub(super) fn drive_sender(
         &mut self,
         event: OrderEvent<Action>,
         now: Instant,
@@ -25,7 +25,7 @@
                 OrderCommand::Send(order) => out.push(Command::Order(order)),
                 OrderCommand::Read(fence) => out.push(Command::ReadEngine(fence)),
                 OrderCommand::Wake(pause) => out.push(Command::Wake(pause)),
-                OrderCommand::Settled(wish, how) => self.settled(wish, how, now, out),
+                OrderCommand::Settled(action, how) => self.handle_settled(action, how, now, out),
             }
         }
     }
@@ -37,26 +37,32 @@
         } else {
             OrderEvent::Wake
         };
-        self.order(event, now, out);
+        self.drive_sender(event, now, out);
     }
 
-    fn settled(&mut self, wish: Action, how: Settlement, now: Instant, out: &mut Vec<Command>) {
+    fn handle_settled(
+        &mut self,
+        action: Action,
+        how: Settlement,
+        now: Instant,
+        out: &mut Vec<Command>,
+    ) {
         if how == Settlement::Superseded {
             self.retire(Retirement::Replaced, out);
             return;
         }
-        let (Action::Hold(step), Open::Holding(proposal)) = (wish, &self.open) else {
+        let (Action::Hold(step), Open::Holding(proposal)) = (action, &self.open) else {
             return;
         };
         let (id, hold) = (proposal.id, proposal.hold_step());
         match how {
             _ if step != hold => {}
-            Settlement::Done => self.held(now, out),
+            Settlement::Done => self.handle_held(now, out),
             _ => self.withdraw(id, Reason::Late, now, out),
         }
     }
 
-    pub(super) fn engine_answered(
+    pub(super) fn handle_engine(
         &mut self,
         answer: Answer<State>,
         now: Instant,
@@ -69,8 +75,8 @@
         if !awaited {
             return;
         }
-        let life = self.engine.as_ref().map(|engine| engine.life);
-        if life.is_some_and(|life| life != answer.state.life) {
+        let incarnation = self.engine.as_ref().map(|engine| engine.life);
+        if incarnation.is_some_and(|incarnation| incarnation != answer.state.life) {
             self.retire(Retirement::EngineLost, out);
             return;
         }
@@ -79,10 +85,10 @@
             fence: answer.fence,
             reply: answer.reply,
         };
-        self.order(event, now, out);
+        self.drive_sender(event, now, out);
         match self.phase {
             Phase::Recovering => self.recover(now, out),
-            Phase::Active => self.pursue(now, out),
+            Phase::Active => self.reconcile(now, out),
             _ => {}
         }
     }
@@ -95,30 +101,31 @@
         out: &mut Vec<Command>,
     ) {
         self.experts.insert(map, experts);
-        self.pursue(now, out);
+        self.reconcile(now, out);
     }
 
-    /// Orders the next thing that the engine lacks.
+    /// Orders the next action that brings the engine to the decided state.
     ///
-    /// Only when every map that is decided is in the engine's plan are steps
-    /// released: a rank that starts the step before a switch thereby tells
-    /// all others that it will use the new map.
-    pub(super) fn pursue(&mut self, now: Instant, out: &mut Vec<Command>) {
+    /// Steps are released only when the engine's plan has every decided map: a
+    /// rank that starts the step before a switch thereby acknowledges to all
+    /// others that it will use the new map.
+    pub(super) fn reconcile(&mut self, now: Instant, out: &mut Vec<Command>) {
         if self.phase != Phase::Active {
             return;
         }
-        self.note_in_force(now, out);
+        self.record_in_force(now, out);
         let Some(engine) = self.engine.clone() else {
             return;
         };
-        if self.set_plan(&engine, now, out) {
-            self.settle_holds(&engine, now, out);
+        if self.reconcile_plan(&engine, now, out) {
+            self.reconcile_holds(&engine, now, out);
             self.load_prepared(&engine, now, out);
         }
     }
 
-    /// Notes that the engine has started a step with the committed map.
-    fn note_in_force(&mut self, now: Instant, out: &mut Vec<Command>) {
+    /// Records the committed map as in force once the engine has started a step
+    /// with it.
+    fn record_in_force(&mut self, now: Instant, out: &mut Vec<Command>) {
         let current = self.engine.as_ref().and_then(State::current);
         if let Open::Committed { id, switch } = self.open
             && current == Some(switch)
@@ -128,28 +135,28 @@
             self.open = Open::Nothing;
             out.push(Command::InForce(switch));
             if let Some(id) = id {
-                self.tell(Peer::Coordinator(id.fence), Body::Applied { id }, out);
+                self.send(Peer::Coordinator(id.fence), Body::Applied { id }, out);
             }
-            self.unload_rest(now, out);
+            self.unload_unneeded(now, out);
         }
     }
 
-    /// Drops the weights that the map in force does not need.
-    fn unload_rest(&mut self, now: Instant, out: &mut Vec<Command>) {
+    /// Unloads the experts that the map in force does not need.
+    fn unload_unneeded(&mut self, now: Instant, out: &mut Vec<Command>) {
         let map = self.current.map;
         self.experts.retain(|other, _| *other >= map);
         let (Some(needed), Some(engine)) = (self.experts.get(&map), &self.engine) else {
             return;
         };
-        let spare = engine.experts.iter().copied();
-        let spare: Vec<Expert> = spare.filter(|expert| !needed.contains(expert)).collect();
-        for expert in spare {
-            self.order(OrderEvent::Want(Action::Unload(expert)), now, out);
+        let unneeded = engine.experts.iter().copied();
+        let unneeded: Vec<Expert> = unneeded.filter(|expert| !needed.contains(expert)).collect();
+        for expert in unneeded {
+            self.drive_sender(OrderEvent::Want(Action::Unload(expert)), now, out);
         }
     }
 
     /// Returns the maps that are used from step `next` on.
-    fn plan(&self, next: Step) -> Vec<Switch> {
+    fn decided_plan(&self, next: Step) -> Vec<Switch> {
         let committed = match &self.open {
             Open::Committed { switch, .. } => Some(*switch),
             _ => None,
@@ -158,10 +165,10 @@
         used_from(next, decided.into_iter().flatten().collect())
     }
 
-    /// Tells whether the engine's plan is what is decided, no more and no
-    /// less, and orders the first map in which it differs if not.
-    fn set_plan(&mut self, engine: &State, now: Instant, out: &mut Vec<Command>) -> bool {
-        let wanted = self.plan(engine.next);
+    /// Returns whether the engine's plan equals the decided plan, and orders the
+    /// first map in which it differs if not.
+    fn reconcile_plan(&mut self, engine: &State, now: Instant, out: &mut Vec<Command>) -> bool {
+        let wanted = self.decided_plan(engine.next);
         let set = used_from(engine.next, engine.plan.clone());
         let same = wanted.iter().zip(&set).take_while(|(a, b)| a == b);
         let same = same.count();
@@ -170,38 +177,49 @@
         }
         let next = wanted.get(same).or(wanted.last()).copied();
         if let Some(next) = next
-            && self.load(next.map, engine, now, out)
+            && self.ensure_loaded(next.map, engine, now, out)
         {
-            self.order(OrderEvent::Want(Action::Use(next)), now, out);
+            self.drive_sender(OrderEvent::Want(Action::Use(next)), now, out);
         }
         false
     }
 
-    /// Tells whether the experts of a map are loaded, and sees to it if not.
-    fn load(&mut self, map: Map, engine: &State, now: Instant, out: &mut Vec<Command>) -> bool {
+    /// Returns whether the experts of a map are loaded, and orders the missing
+    /// ones if not.
+    fn ensure_loaded(
+        &mut self,
+        map: Map,
+        engine: &State,
+        now: Instant,
+        out: &mut Vec<Command>,
+    ) -> bool {
         let Some(experts) = self.experts.get(&map) else {
             out.push(Command::ReadMap(map));
-            self.sleep(out);
+            self.schedule_wake(out);
             return false;
         };
-        let lacking = |expert: &&Expert| !engine.experts.contains(expert) || self.moves(**expert);
-        let lacking: Vec<Expert> = experts.iter().filter(lacking).copied().collect();
-        for expert in &lacking {
-            self.order(OrderEvent::Want(Action::Load(*expert)), now, out);
+        let missing =
+            |expert: &&Expert| !engine.experts.contains(expert) || self.has_pending_order(**expert);
+        let missing: Vec<Expert> = experts.iter().filter(missing).copied().collect();
+        for expert in &missing {
+            self.drive_sender(OrderEvent::Want(Action::Load(*expert)), now, out);
         }
-        lacking.is_empty()
+        missing.is_empty()
     }
 
-    /// Tells whether an order to load or drop an expert is not settled, so
-    /// that the engine's state does not tell whether it stays loaded.
-    fn moves(&self, expert: Expert) -> bool {
+    /// Returns whether an order to load or unload the expert is pending. The
+    /// engine's state then does not show whether the expert stays loaded.
+    fn has_pending_order(&self, expert: Expert) -> bool {
         let mut wants = self.sender.iter().flat_map(Sender::wants);
-        wants.any(|wish| matches!(wish, Action::Load(own) | Action::Unload(own) if *own == expert))
+        wants.any(
+            |action| matches!(action, Action::Load(own) | Action::Unload(own) if *own == expert),
+        )
     }
 
-    /// Drops the experts that neither the map in force nor `map` needs, if
-    /// the engine lacks any of `map`: it may have no room for them else.
-    fn make_room(&mut self, map: Map, engine: &State, now: Instant, out: &mut Vec<Command>) {
+    /// Unloads the experts that neither the map in force nor `map` needs if any
+    /// expert of `map` is missing, because the engine may have no memory for it
+    /// otherwise.
+    fn free_memory(&mut self, map: Map, engine: &State, now: Instant, out: &mut Vec<Command>) {
         let Some(wanted) = self.experts.get(&map) else {
             return;
         };
@@ -216,7 +234,7 @@
         let loaded = engine.experts.iter().copied();
         let unused: Vec<Expert> = loaded.filter(|expert| !is_needed(expert)).collect();
         for expert in unused {
-            self.order(OrderEvent::Want(Action::Unload(expert)), now, out);
+            self.drive_sender(OrderEvent::Want(Action::Unload(expert)), now, out);
         }
     }
 
@@ -228,19 +246,19 @@
         else {
             return;
         };
-        self.make_room(map, engine, now, out);
-        let loaded = self.load(map, engine, now, out);
+        self.free_memory(map, engine, now, out);
+        let loaded = self.ensure_loaded(map, engine, now, out);
         if let Some(prepared) = &mut self.prepared
             && loaded
             && !prepared.ready
         {
             prepared.ready = true;
-            self.say_ready(id, out);
+            self.send_ready(id, out);
         }
     }
 
-    /// Holds the step of the proposal at hand and releases all others.
-    fn settle_holds(&mut self, engine: &State, now: Instant, out: &mut Vec<Command>) {
+    /// Orders a hold of the open proposal's step and releases all others.
+    fn reconcile_holds(&mut self, engine: &State, now: Instant, out: &mut Vec<Command>) {
         let hold = match &self.open {
             Open::Holding(proposal) | Open::Promised { proposal, .. } => Some(proposal.hold_step()),
             _ => None,
@@ -250,18 +268,18 @@
             .into_iter()
             .filter(|step| Some(*step) != hold)
         {
-            self.order(OrderEvent::Want(Action::Release(step)), now, out);
+            self.drive_sender(OrderEvent::Want(Action::Release(step)), now, out);
         }
         if let (Some(step), Open::Holding(_)) = (hold, &self.open) {
-            self.order(OrderEvent::Want(Action::Hold(step)), now, out);
+            self.drive_sender(OrderEvent::Want(Action::Hold(step)), now, out);
         }
     }
 
-    /// Returns the steps that are held, or may be by an order on its way.
+    /// Returns the steps that are held, or may become held by a pending order.
     fn held_steps(&self, engine: &State) -> Vec<Step> {
         let mut steps = engine.holds.clone();
         let wants = self.sender.iter().flat_map(Sender::wants);
-        steps.extend(wants.filter_map(|wish| match wish {
+        steps.extend(wants.filter_map(|action| match action {
             Action::Hold(step) => Some(*step),
             _ => None,
         }));
--- a/crates/switch/src/rank/enrol.rs
+++ b/crates/switch/src/rank/enrol.rs
@@ -1,4 +1,4 @@
-//! Taking the rank's seat and its engine.
+//! Taking the rank's seat and taking over its engine.
 
 use std::time::Duration;
 
@@ -11,13 +11,14 @@
 use crate::engine::Action;
 use crate::view::View;
 
-/// Over how many retry times the ranks that race for the group's object spread.
+/// The number of retry intervals over which ranks spread their reads after a
+/// conflicting write of the group's object.
 const RACE_SLOTS: u32 = 16;
 
 impl Member {
     pub(super) fn enrol(&self, out: &mut Vec<Command>) {
         out.push(Command::ReadGroup);
-        self.sleep(out);
+        self.schedule_wake(out);
     }
 
     pub(super) fn group_read(
@@ -29,7 +30,7 @@
     ) {
         if !matches!(self.phase, Phase::Enrolling { .. }) {
             self.install(&view, now, out);
-            self.found_generation(version, &view, out);
+            self.start_generation(version, &view, out);
             return;
         }
         let seat = view.seat(self.rank).cloned();
@@ -37,30 +38,30 @@
         if let Some(seat) = seat.as_ref().filter(|seat| seat.process == self.process) {
             self.incarnation = seat.incarnation;
             self.view = view;
-            self.take_engine(now, out);
-        } else if self.is_former(holder) {
+            self.take_over_engine(now, out);
+        } else if self.is_former_holder(holder) {
             let former = holder.cloned();
-            let waits = self.must_wait(&view);
+            let delay = self.write_delay(&view);
             self.phase = Phase::Enrolling {
                 seen: true,
                 former,
-                written: waits.is_zero(),
+                written: delay.is_zero(),
             };
-            if waits.is_zero() {
+            if delay.is_zero() {
                 let view = view.with_seat(self.rank, &self.process);
                 out.push(Command::WriteGroup { version, view });
             } else {
-                out.push(Command::Wake(waits));
+                out.push(Command::Wake(delay));
             }
         } else {
             self.retire(Retirement::Replaced, out);
         }
     }
 
-    /// Returns how long to leave the group's object to others: at the start
-    /// of a group, ranks take their free seats in order; later, one that lost
-    /// a race for the object waits by its rank before it reads again.
-    fn must_wait(&self, view: &View) -> Duration {
+    /// Returns how long to wait before writing the group's object. At the start
+    /// of a group, ranks take their free seats in order. Later, a rank whose
+    /// write conflicted with another waits by its number before it reads again.
+    fn write_delay(&self, view: &View) -> Duration {
         let own = usize::from(self.rank.0);
         let free = view.seats.iter().take(own).filter(|seat| seat.is_none());
         let before = free.count();
@@ -73,9 +74,9 @@
         }
     }
 
-    /// Tells whether the seat is still with the process that was seen there
-    /// first; if not, a newer process than this one has taken it.
-    fn is_former(&self, holder: Option<&cactusnotch_base::name::Process>) -> bool {
+    /// Returns whether the seat is still held by the process that was first read
+    /// there. If not, a newer process than this one has taken it.
+    fn is_former_holder(&self, holder: Option<&cactusnotch_base::name::Process>) -> bool {
         match &self.phase {
             Phase::Enrolling {
                 seen: true, former, ..
@@ -84,9 +85,9 @@
         }
     }
 
-    /// Sends the engine an order without effect, so that it refuses those of
-    /// a former agent, and reads its state from the answer.
-    fn take_engine(&mut self, now: Instant, out: &mut Vec<Command>) {
+    /// Sends the engine an order without effect, after which it refuses orders
+    /// of a former agent, and reads its state from the answer.
+    fn take_over_engine(&mut self, now: Instant, out: &mut Vec<Command>) {
         let takeover = matches!(
             &self.phase,
             Phase::Enrolling {
@@ -97,22 +98,22 @@
         self.phase = Phase::Recovering;
         let sender = Sender::new(self.options.orders, self.incarnation, takeover, now);
         self.sender = Some(sender);
-        self.order(OrderEvent::Want(Action::Release(0.into())), now, out);
-        self.order(OrderEvent::Refresh, now, out);
+        self.drive_sender(OrderEvent::Want(Action::Release(0.into())), now, out);
+        self.drive_sender(OrderEvent::Refresh, now, out);
     }
 
-    /// Goes on from the state of the engine, once it is known.
+    /// Continues from the state of the engine, once it has been read.
     ///
-    /// An engine that has started a step tells of the former agent's part. One
-    /// that has not is held before anything else, for a former agent may have
-    /// released it.
+    /// From an engine that has started a step, the former agent's decided
+    /// switches are recovered. An engine that has not is held first, because a
+    /// former agent may have released it.
     pub(super) fn recover(&mut self, now: Instant, out: &mut Vec<Command>) {
         let Some(engine) = &self.engine else {
             return;
         };
         if !engine.started && !engine.is_awaiting_start() {
             let hold = Action::Hold(engine.next);
-            self.order(OrderEvent::Want(hold), now, out);
+            self.drive_sender(OrderEvent::Want(hold), now, out);
             return;
         }
         if let Some(current) = engine.current() {
@@ -123,10 +124,10 @@
         }
         self.phase = Phase::Joining {
             reports: Table::new(),
-            founds: false,
+            starts_generation: false,
         };
-        self.ask_reports(out);
-        self.sleep(out);
-        self.reconsider(now, out);
+        self.request_reports(out);
+        self.schedule_wake(out);
+        self.finish_joining(now, out);
     }
 }
--- a/crates/switch/src/rank/event.rs
+++ b/crates/switch/src/rank/event.rs
@@ -1,4 +1,4 @@
-//! What happens to a member, and what it asks of its driver.
+//! The inputs of a member and the commands to its driver.
 
 use std::time::Duration;
 
@@ -13,16 +13,17 @@
 use crate::proposal::Id;
 use crate::view::View;
 
-/// What happens to a member.
+/// An input of a member.
 #[record]
 #[derive(Hash)]
 pub enum Event {
     /// The process has started.
     Start,
-    /// The time of the last [`Command::Wake`] has come.
+    /// The timer set by the last [`Command::Wake`] has expired.
     Wake,
     /// The group's object was read, after a [`Command::ReadGroup`] or after
-    /// the attempt of a [`Command::WriteGroup`], whatever came of it.
+    /// the attempt of a [`Command::WriteGroup`], whether or not the write
+    /// succeeded.
     Group {
         /// The version of the object.
         version: Version,
@@ -38,11 +39,11 @@
     },
     /// The engine answered an order or a read.
     Engine(Answer<State>),
-    /// A message came.
+    /// A message was received.
     Message(Message),
 }
 
-/// What a member asks of its driver.
+/// A command of a member to its driver.
 #[record]
 #[derive(Hash)]
 pub enum Command {
@@ -64,35 +65,35 @@
         /// The message.
         message: Message,
     },
-    /// Send a message to the process whose message this event brought, also
-    /// if it has no seat any more.
+    /// Send a message to the process whose message this event delivered, even if
+    /// it no longer has a seat.
     Reply(Message),
     /// Send an order to the engine.
     Order(Order<Action>),
     /// Read the engine's state and answer with this number.
     ReadEngine(Fence),
-    /// Bring [`Event::Wake`] after this time. Of several, the shortest counts,
-    /// and any wake clears the others.
+    /// Deliver [`Event::Wake`] after this time. If several are pending, the
+    /// earliest one fires and clears the others.
     Wake(Duration),
-    /// The rank has learned how a proposal ended.
+    /// The outcome of a proposal was received.
     Decided {
         /// The proposal.
         id: Id,
         /// The switch, if it was committed.
         switch: Option<Switch>,
     },
-    /// The rank's engine uses this map.
+    /// The rank's engine has started a step with this map.
     InForce(Switch),
-    /// This member has ended; the driver drops it.
+    /// This member is retired; the driver drops it.
     Retire(Retirement),
 }
 
-/// Why a member ended.
+/// Why a member was retired.
 #[record]
 #[derive(Copy, Hash)]
 pub enum Retirement {
-    /// Another process has the rank's seat.
+    /// Another process holds the rank's seat.
     Replaced,
-    /// The engine process was replaced: a new member must take its place.
+    /// The engine process was replaced; a new member must be created.
     EngineLost,
 }
--- a/crates/switch/src/rank/join.rs
+++ b/crates/switch/src/rank/join.rs
@@ -8,14 +8,14 @@
 use crate::message::{Body, Decisions, Peer, Report};
 use crate::view::{Rank, View};
 
-/// The rank that starts a generation at once; the others, after a retry time.
-const FOUNDER: Rank = Rank(0);
+/// The rank that starts a generation at once; the others wait for a retry interval.
+const GENERATION_STARTER: Rank = Rank(0);
 
 impl Member {
-    /// Goes over to `view` if it is newer.
+    /// Installs `view` if it is newer.
     ///
-    /// From then on nothing said in an earlier view counts: neither promises
-    /// nor outcomes of proposals made in it, but by a member of this view.
+    /// From then on, promises for proposals of an earlier view are void, and
+    /// their outcomes are accepted only from members of this view.
     pub(super) fn install(&mut self, view: &View, now: Instant, out: &mut Vec<Command>) {
         if view.number <= self.view.number || matches!(self.phase, Phase::Enrolling { .. }) {
             return;
@@ -33,20 +33,20 @@
             self.begin_generation(now, out);
         } else if let Phase::Joining { reports, .. } = &mut self.phase {
             *reports = cactusnotch_base::Table::new();
-            self.ask_reports(out);
+            self.request_reports(out);
         }
     }
 
-    pub(super) fn ask_reports(&self, out: &mut Vec<Command>) {
+    pub(super) fn request_reports(&self, out: &mut Vec<Command>) {
         let Phase::Joining { reports, .. } = &self.phase else {
             return;
         };
-        if self.has_free_seats() || self.knows_nobody_stands() {
+        if self.has_free_seats() || self.no_rank_is_active() {
             out.push(Command::ReadGroup);
             return;
         }
         for rank in self.others().filter(|rank| !reports.contains(rank)) {
-            self.tell(Peer::Rank(rank), Body::Join(self.view.clone()), out);
+            self.send(Peer::Rank(rank), Body::Join(self.view.clone()), out);
         }
     }
 
@@ -59,10 +59,10 @@
         self.view.seats.iter().any(Option::is_none)
     }
 
-    /// Returns what this member knows, which holds for the whole view.
-    fn standing(&self) -> Report {
+    /// Returns this member's report, which stays valid for the whole view.
+    fn own_report(&self) -> Report {
         let known = match &self.phase {
-            Phase::Joining { .. } => self.recovered(),
+            Phase::Joining { .. } => self.has_surviving_engine(),
             Phase::Active => true,
             _ => false,
         };
@@ -80,18 +80,18 @@
         })
     }
 
-    /// Tells whether the engine has outlived a former agent.
-    fn recovered(&self) -> bool {
+    /// Returns whether the engine has outlived a former agent.
+    fn has_surviving_engine(&self) -> bool {
         self.engine.as_ref().is_some_and(|engine| engine.started)
     }
 
-    pub(super) fn report(&self, to: Rank, out: &mut Vec<Command>) {
+    pub(super) fn send_report(&self, to: Rank, out: &mut Vec<Command>) {
         if self.phase != Phase::Recovering {
-            self.tell(Peer::Rank(to), Body::Report(self.standing()), out);
+            self.send(Peer::Rank(to), Body::Report(self.own_report()), out);
         }
     }
 
-    pub(super) fn reported(
+    pub(super) fn handle_report(
         &mut self,
         from: Rank,
         report: Report,
@@ -102,27 +102,27 @@
             return;
         };
         reports.insert(from, report);
-        self.reconsider(now, out);
+        self.finish_joining(now, out);
     }
 
-    /// Settles what this view inherits, once every rank has reported.
+    /// Adopts the decided switches of earlier views, once every rank has reported.
     ///
-    /// A switch that any of them knows as committed is committed; if none
-    /// does, none was ever in force and no open proposal can be any more.
-    pub(super) fn reconsider(&mut self, now: Instant, out: &mut Vec<Command>) {
-        let Some(standings) = self.standings() else {
+    /// A switch that any report has as committed is committed. If no report has
+    /// one, no open proposal was ever in force, and none can commit any more.
+    pub(super) fn finish_joining(&mut self, now: Instant, out: &mut Vec<Command>) {
+        let Some(decisions) = self.active_reports() else {
             return;
         };
-        if standings.is_empty() {
-            if self.rank == FOUNDER {
+        if decisions.is_empty() {
+            if self.rank == GENERATION_STARTER {
                 out.push(Command::ReadGroup);
             }
             return;
         }
-        let mut decided: Vec<Switch> = standings.iter().flat_map(Decisions::decided).collect();
+        let mut decided: Vec<Switch> = decisions.iter().flat_map(Decisions::decided).collect();
         decided.sort_unstable();
         decided.dedup();
-        let in_force = standings.iter().map(|standing| standing.current).max();
+        let in_force = decisions.iter().map(|known| known.current).max();
         self.current = in_force.unwrap_or_default();
         let (before, after) = decided.split_at(decided.partition_point(|set| *set < self.current));
         self.previous = before.last().copied();
@@ -134,42 +134,46 @@
             None => Open::Nothing,
         };
         self.phase = Phase::Active;
-        self.pursue(now, out);
+        self.reconcile(now, out);
     }
 
-    /// Returns what each standing member knows, if every rank has reported.
-    fn standings(&self) -> Option<Vec<Decisions>> {
+    /// Returns the decided switches of each active member, once every rank has
+    /// reported.
+    fn active_reports(&self) -> Option<Vec<Decisions>> {
         let Phase::Joining { reports, .. } = &self.phase else {
             return None;
         };
         if self.has_free_seats() || reports.len() + 1 < self.view.size() {
             return None;
         }
-        let own = self.standing();
+        let own = self.own_report();
         let all = reports.values().copied().chain(std::iter::once(own));
-        let stands = |report| match report {
+        let decisions_of = |report| match report {
             Report::Joining => None,
-            Report::Standing(standing) => Some(standing),
+            Report::Standing(decisions) => Some(decisions),
         };
-        Some(all.filter_map(stands).collect())
+        Some(all.filter_map(decisions_of).collect())
     }
 
-    fn knows_nobody_stands(&self) -> bool {
-        self.standings()
-            .is_some_and(|standings| standings.is_empty())
+    fn no_rank_is_active(&self) -> bool {
+        self.active_reports()
+            .is_some_and(|decisions| decisions.is_empty())
     }
 
     /// Starts a new generation from the map on the platform, if the view that
-    /// was read is this one, in which no rank has a part in the group.
-    pub(super) fn found_generation(
+    /// was read is still the current one and no rank in it is active.
+    pub(super) fn start_generation(
         &mut self,
         version: Version,
         view: &View,
         out: &mut Vec<Command>,
     ) {
-        if view.number == self.view.number && self.knows_nobody_stands() {
-            if let Phase::Joining { founds, .. } = &mut self.phase {
-                *founds = true;
+        if view.number == self.view.number && self.no_rank_is_active() {
+            if let Phase::Joining {
+                starts_generation, ..
+            } = &mut self.phase
+            {
+                *starts_generation = true;
             }
             let view = view.with_generation();
             out.push(Command::WriteGroup { version, view });
@@ -177,14 +181,20 @@
     }
 
     fn begin_generation(&mut self, now: Instant, out: &mut Vec<Command>) {
-        let founds = matches!(self.phase, Phase::Joining { founds: true, .. });
+        let starts_generation = matches!(
+            self.phase,
+            Phase::Joining {
+                starts_generation: true,
+                ..
+            }
+        );
         self.previous = None;
         self.current = self.view.base;
         self.open = Open::Nothing;
         self.phase = Phase::Active;
-        for rank in self.others().filter(|_| founds) {
-            self.tell(Peer::Rank(rank), Body::View(self.view.clone()), out);
+        for rank in self.others().filter(|_| starts_generation) {
+            self.send(Peer::Rank(rank), Body::View(self.view.clone()), out);
         }
-        self.pursue(now, out);
+        self.reconcile(now, out);
     }
 }
--- a/crates/switch/src/rank/outcome.rs
+++ b/crates/switch/src/rank/outcome.rs
@@ -1,4 +1,4 @@
-//! Learning how a proposal ended, and telling others.
+//! Receiving the outcome of a proposal and sending it to others.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::number::Step;
@@ -10,11 +10,11 @@
 use crate::view::Rank;
 
 impl Member {
-    /// Returns what this standing member knows of a proposal's outcome.
+    /// Returns the outcome of a proposal from this active member's point of view.
     ///
     /// A proposal that is neither open here nor committed was never promised
-    /// by this rank, or is known to be aborted, or was proposed in an earlier
-    /// view that has been settled.
+    /// by this rank, was aborted, or belongs to an earlier view whose proposals
+    /// have been settled.
     pub(super) fn verdict(&self, proposal: &Proposal) -> Verdict {
         match &self.open {
             Open::Committed { switch, .. } if *switch == proposal.switch => Verdict::Commit,
@@ -28,9 +28,9 @@
         }
     }
 
-    /// Takes in a query. A rank that has not promised by the time that another
-    /// waits for the outcome never will.
-    pub(super) fn queried(
+    /// Handles a query. A rank that has not promised when another is blocked on
+    /// the outcome never promises.
+    pub(super) fn handle_query(
         &mut self,
         proposal: &Proposal,
         ballot: &Ballot,
@@ -46,7 +46,7 @@
                 self.withdraw(proposal.id, Reason::Queried, now, out);
             }
             Open::Promised { proposal: open, .. } if open.id == proposal.id => {
-                self.merge(ballot, now, out);
+                self.merge_promises(ballot, now, out);
             }
             _ if urgent && self.verdict(proposal) == Verdict::Abort => {
                 self.highest = self.highest.max(proposal.id);
@@ -55,7 +55,7 @@
         }
     }
 
-    pub(super) fn answer(&self, to: Peer, proposal: &Proposal, out: &mut Vec<Command>) {
+    pub(super) fn send_outcome(&self, to: Peer, proposal: &Proposal, out: &mut Vec<Command>) {
         if self.phase != Phase::Active {
             return;
         }
@@ -65,10 +65,10 @@
             verdict => verdict,
         };
         let proposal = *proposal;
-        self.tell(to, Body::Outcome { proposal, verdict }, out);
+        self.send(to, Body::Outcome { proposal, verdict }, out);
     }
 
-    pub(super) fn learned(
+    pub(super) fn apply_outcome(
         &mut self,
         proposal: &Proposal,
         verdict: Verdict,
@@ -77,35 +77,36 @@
     ) {
         let open = self.promised().is_some_and(|open| open.id == proposal.id);
         match verdict {
-            Verdict::Open(ballot) if open => self.merge(&ballot, now, out),
+            Verdict::Open(ballot) if open => self.merge_promises(&ballot, now, out),
             Verdict::Open(_) => {}
             Verdict::Commit if open => self.commit(*proposal, now, out),
-            Verdict::Commit => self.say_applied(proposal, out),
-            Verdict::Abort => self.learned_abort(proposal.id, now, out),
+            Verdict::Commit => self.send_applied(proposal, out),
+            Verdict::Abort => self.handle_abort(proposal.id, now, out),
         }
     }
 
-    /// Tells a coordinator that its proposal was settled in a later view.
-    pub(super) fn contradict(&self, proposal: Proposal, out: &mut Vec<Command>) {
+    /// Sends a coordinator the outcome of its proposal, as settled in a later
+    /// view.
+    pub(super) fn correct_coordinator(&self, proposal: Proposal, out: &mut Vec<Command>) {
         match self.verdict(&proposal) {
             Verdict::Open(_) => {}
-            Verdict::Commit => self.say_applied(&proposal, out),
+            Verdict::Commit => self.send_applied(&proposal, out),
             Verdict::Abort => {
                 let verdict = Verdict::Abort;
                 let coordinator = Peer::Coordinator(proposal.id.fence);
-                self.tell(coordinator, Body::Outcome { proposal, verdict }, out);
+                self.send(coordinator, Body::Outcome { proposal, verdict }, out);
             }
         }
     }
 
-    fn say_applied(&self, proposal: &Proposal, out: &mut Vec<Command>) {
+    fn send_applied(&self, proposal: &Proposal, out: &mut Vec<Command>) {
         if self.current.map >= proposal.switch.map {
             let id = proposal.id;
-            self.tell(Peer::Coordinator(id.fence), Body::Applied { id }, out);
+            self.send(Peer::Coordinator(id.fence), Body::Applied { id }, out);
         }
     }
 
-    fn learned_abort(&mut self, id: Id, now: Instant, out: &mut Vec<Command>) {
+    fn handle_abort(&mut self, id: Id, now: Instant, out: &mut Vec<Command>) {
         self.highest = self.highest.max(id);
         if self.prepared.as_ref().is_some_and(|old| old.id <= id) {
             self.prepared = None;
@@ -117,24 +118,24 @@
         if open == id {
             self.open = Open::Nothing;
             out.push(Command::Decided { id, switch: None });
-            self.pursue(now, out);
+            self.reconcile(now, out);
         }
     }
 
-    /// Takes in promises that others know of, unless the view has changed
-    /// since the proposal.
-    fn merge(&mut self, others: &Ballot, now: Instant, out: &mut Vec<Command>) {
+    /// Merges promises observed by others, unless the view has changed since the
+    /// proposal.
+    fn merge_promises(&mut self, others: &Ballot, now: Instant, out: &mut Vec<Command>) {
         let view = self.view.number;
         if let Open::Promised { proposal, ballot } = &mut self.open
             && proposal.view == view
         {
             ballot.merge(others);
-            self.count(now, out);
+            self.commit_if_complete(now, out);
         }
     }
 
-    /// Commits if every rank is known to have promised.
-    pub(super) fn count(&mut self, now: Instant, out: &mut Vec<Command>) {
+    /// Commits the open proposal if every rank is known to have promised.
+    pub(super) fn commit_if_complete(&mut self, now: Instant, out: &mut Vec<Command>) {
         if let Open::Promised { proposal, ballot } = &self.open
             && ballot.is_full(self.view.size())
         {
@@ -151,18 +152,19 @@
         };
         let switch = Some(switch);
         out.push(Command::Decided { id, switch });
-        self.pursue(now, out);
-        self.sleep(out);
+        self.reconcile(now, out);
+        self.schedule_wake(out);
     }
 
-    /// Asks the coordinator and one other rank how the open proposal ended.
+    /// Queries the coordinator and one other rank for the outcome of the open
+    /// proposal.
     ///
-    /// The distance to the rank that is asked doubles each time, so that what
-    /// any rank knows reaches all in as many rounds as the group's size has
-    /// binary digits.
+    /// The distance to the queried rank doubles each time. Information of any
+    /// rank therefore reaches all others in as many rounds as the group's size
+    /// has binary digits.
     ///
-    /// The first wake after the promise may come at once and asks nothing.
-    pub(super) fn ask_outcome(&mut self, out: &mut Vec<Command>) {
+    /// The first wake after the promise may fire at once, so it sends nothing.
+    pub(super) fn query_outcome(&mut self, out: &mut Vec<Command>) {
         self.wakes += 1;
         if self.wakes == 1 {
             return;
@@ -173,15 +175,15 @@
         let query = Body::Query {
             proposal: *proposal,
             ballot: ballot.clone(),
-            urgent: self.waits_at(proposal.hold_step()),
+            urgent: self.has_reached(proposal.hold_step()),
         };
         let coordinator = Peer::Coordinator(proposal.id.fence);
-        self.tell(coordinator, query.clone(), out);
-        self.tell(Peer::Rank(self.next_peer()), query, out);
+        self.send(coordinator, query.clone(), out);
+        self.send(Peer::Rank(self.next_peer()), query, out);
     }
 
-    /// Tells whether the engine has come to the hold step.
-    fn waits_at(&self, hold: Step) -> bool {
+    /// Returns whether the engine has reached the hold step.
+    fn has_reached(&self, hold: Step) -> bool {
         self.engine
             .as_ref()
             .is_some_and(|engine| engine.next >= hold)
--- a/crates/switch/src/rank/promise.rs
+++ b/crates/switch/src/rank/promise.rs
@@ -1,4 +1,4 @@
-//! Loading for a proposal and voting on it.
+//! Loading weights for a proposal and voting on it.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_order::Event as OrderEvent;
@@ -10,9 +10,15 @@
 use crate::proposal::{Id, Proposal};
 
 impl Member {
-    /// Loads what a map needs. A request that is late, because the rank has
-    /// voted on this proposal or a later one, gets no answer: a vote stands.
-    pub(super) fn prepare(&mut self, id: Id, map: Map, now: Instant, out: &mut Vec<Command>) {
+    /// Starts to load the experts of a map. A request for a proposal up to the
+    /// last one voted on is late and gets no answer, because votes are final.
+    pub(super) fn handle_prepare(
+        &mut self,
+        id: Id,
+        map: Map,
+        now: Instant,
+        out: &mut Vec<Command>,
+    ) {
         if id <= self.highest {
             return;
         }
@@ -23,13 +29,13 @@
         } else if self.prepared.as_ref().is_none_or(|old| old.id <= id) {
             let ready = false;
             self.prepared = Some(Prepared { id, map, ready });
-            self.order(OrderEvent::Refresh, now, out);
-            self.sleep(out);
+            self.drive_sender(OrderEvent::Refresh, now, out);
+            self.schedule_wake(out);
         }
     }
 
-    /// Tells the coordinator that the weights of the prepared map are loaded.
-    pub(super) fn say_ready(&self, id: Id, out: &mut Vec<Command>) {
+    /// Notifies the coordinator that the weights of the prepared map are loaded.
+    pub(super) fn send_ready(&self, id: Id, out: &mut Vec<Command>) {
         let Some(engine) = &self.engine else {
             return;
         };
@@ -38,26 +44,31 @@
             view: self.view.number,
             next: engine.next,
         };
-        self.tell(Peer::Coordinator(id.fence), body, out);
+        self.send(Peer::Coordinator(id.fence), body, out);
     }
 
-    pub(super) fn propose(&mut self, proposal: &Proposal, now: Instant, out: &mut Vec<Command>) {
+    pub(super) fn handle_proposal(
+        &mut self,
+        proposal: &Proposal,
+        now: Instant,
+        out: &mut Vec<Command>,
+    ) {
         match self.verdict(proposal) {
-            Verdict::Open(_) | Verdict::Commit => self.repeat_vote(proposal.id, out),
+            Verdict::Open(_) | Verdict::Commit => self.send_vote(proposal.id, out),
             Verdict::Abort if proposal.id <= self.highest => {
                 let verdict = Verdict::Abort;
                 let proposal = *proposal;
                 let body = Body::Outcome { proposal, verdict };
-                self.tell(Peer::Coordinator(proposal.id.fence), body, out);
+                self.send(Peer::Coordinator(proposal.id.fence), body, out);
             }
-            Verdict::Abort => match self.objection(proposal) {
+            Verdict::Abort => match self.veto_reason(proposal) {
                 Some(reason) => self.veto(proposal.id, reason, out),
-                None => self.hold(proposal, now, out),
+                None => self.accept(proposal, now, out),
             },
         }
     }
 
-    fn objection(&self, proposal: &Proposal) -> Option<Reason> {
+    fn veto_reason(&self, proposal: &Proposal) -> Option<Reason> {
         let ready = |prepared: &Prepared| prepared.ready && prepared.id == proposal.id;
         let engine = self.engine.as_ref();
         if self.open != Open::Nothing {
@@ -77,16 +88,16 @@
         }
     }
 
-    fn hold(&mut self, proposal: &Proposal, now: Instant, out: &mut Vec<Command>) {
+    fn accept(&mut self, proposal: &Proposal, now: Instant, out: &mut Vec<Command>) {
         self.highest = proposal.id;
         self.last_hold = proposal.hold_step();
         self.open = Open::Holding(*proposal);
-        self.pursue(now, out);
-        self.sleep(out);
+        self.reconcile(now, out);
+        self.schedule_wake(out);
     }
 
-    /// Promises, now that the engine waits at the hold step.
-    pub(super) fn held(&mut self, now: Instant, out: &mut Vec<Command>) {
+    /// Promises the proposal after the engine has confirmed the hold.
+    pub(super) fn handle_held(&mut self, now: Instant, out: &mut Vec<Command>) {
         let Open::Holding(proposal) = self.open else {
             return;
         };
@@ -98,24 +109,30 @@
         ballot.insert(self.rank);
         self.open = Open::Promised { proposal, ballot };
         self.wakes = 0;
-        self.repeat_vote(proposal.id, out);
-        self.count(now, out);
+        self.send_vote(proposal.id, out);
+        self.commit_if_complete(now, out);
     }
 
-    pub(super) fn repeat_vote(&self, id: Id, out: &mut Vec<Command>) {
+    pub(super) fn send_vote(&self, id: Id, out: &mut Vec<Command>) {
         let vote = match &self.open {
             Open::Promised { proposal, .. } if proposal.id == id => Vote::Promise,
             Open::Committed { id: decided, .. } if *decided == Some(id) => Vote::Promise,
             _ => return,
         };
-        self.tell(Peer::Coordinator(id.fence), Body::Vote { id, vote }, out);
+        self.send(Peer::Coordinator(id.fence), Body::Vote { id, vote }, out);
     }
 
-    /// Gives up a proposal that the rank has not promised.
-    pub(super) fn withdraw(&mut self, id: Id, why: Reason, now: Instant, out: &mut Vec<Command>) {
+    /// Vetoes the open proposal, which the rank has not promised.
+    pub(super) fn withdraw(
+        &mut self,
+        id: Id,
+        reason: Reason,
+        now: Instant,
+        out: &mut Vec<Command>,
+    ) {
         self.open = Open::Nothing;
-        self.veto(id, why, out);
-        self.pursue(now, out);
+        self.veto(id, reason, out);
+        self.reconcile(now, out);
     }
 
     pub(super) fn veto(&mut self, id: Id, reason: Reason, out: &mut Vec<Command>) {
@@ -124,6 +141,6 @@
             self.prepared = None;
         }
         let vote = Vote::Veto(reason);
-        self.tell(Peer::Coordinator(id.fence), Body::Vote { id, vote }, out);
+        self.send(Peer::Coordinator(id.fence), Body::Vote { id, vote }, out);
     }
 }
--- a/crates/switch/src/view.rs
+++ b/crates/switch/src/view.rs
@@ -1,4 +1,4 @@
-//! Which process stands for each rank, as the platform records it.
+//! The membership view of a group, as recorded on the platform.
 
 use cactusnotch_base::name::Process;
 use cactusnotch_base::number::Incarnation;
@@ -13,7 +13,7 @@
 #[serde(transparent)]
 pub struct Rank(pub u16);
 
-/// The agent process that stands for a rank.
+/// The agent process that represents a rank.
 #[message]
 #[derive(Eq, Hash)]
 pub struct Seat {
@@ -23,17 +23,17 @@
     pub process: Process,
 }
 
-/// The object of a group on the platform: its seats, and the map from which
-/// it starts when no rank is left that knows better.
+/// The platform object of a group: its seats, and the map with which it restarts
+/// if no rank with decided switches is left.
 ///
-/// An agent takes its seat by a conditional update, so views are totally
+/// An agent takes its seat by a conditional update, which makes views totally
 /// ordered by their number.
 #[message]
 #[derive(Eq, Hash)]
 pub struct View {
-    /// How often the group has started from `base`.
+    /// The number of times that the group has started from `base`.
     pub generation: u64,
-    /// The number of the view; each new seat and generation adds one.
+    /// The number of the view, incremented by each new seat and generation.
     pub number: u64,
     /// The map with which the next generation starts.
     pub base: Switch,
@@ -42,7 +42,7 @@
 }
 
 impl View {
-    /// Creates the first view of a group of `size` ranks, all seats free.
+    /// Creates the first view of a group of `size` ranks with all seats free.
     #[must_use]
     pub fn new(size: u16, base: Switch) -> Self {
         Self {
@@ -71,7 +71,7 @@
         (0..size).map(Rank)
     }
 
-    /// Returns the next view, in which `process` has the seat of `rank`.
+    /// Returns the next view, in which `process` holds the seat of `rank`.
     #[must_use]
     pub(crate) fn with_seat(&self, rank: Rank, process: &Process) -> Self {
         let mut view = self.clone();
