--- a/crates/switch/examples/switch_cost.rs
+++ b/crates/switch/examples/switch_cost.rs
@@ -1,6 +1,6 @@
-//! Measures what a switch costs: messages, bytes, platform calls, the worst
-//! stall of the group and the memory of a member, by the number of ranks, with
-//! and without loss.
+//! Measures the cost of a switch by the number of ranks, with and without loss:
+//! messages, bytes, platform calls, the longest stall of the group and the memory
+//! of a member.
 //!
 //! `cargo run --release -p cactusnotch-switch --example switch_cost`
 
@@ -21,49 +21,50 @@
 use cactusnotch_switch::{Message, Options, Rank, Switch, View, rank};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
-use world::{Packet, Part, Sender, World};
+use world::{Hashed, Packet, Sender, World};
 
-/// The time of a message between hosts in different data centres.
-const LINK: Duration = Duration::from_micros(1_500);
-/// The time of a call to the platform, or to the engine beside an agent.
-const CALL: Duration = Duration::from_millis(3);
-const LOCAL: Duration = Duration::from_micros(200);
-/// The time of a step.
-const STEP: Duration = Duration::from_micros(4_500);
-/// How often engines look whether they can start a step.
-const TICK: Duration = Duration::from_micros(100);
+/// The latency of a message between hosts in different data centres.
+const LINK_LATENCY: Duration = Duration::from_micros(1_500);
+/// The latency of a call to the platform.
+const PLATFORM_LATENCY: Duration = Duration::from_millis(3);
+/// The latency of a call to the engine beside an agent.
+const ENGINE_LATENCY: Duration = Duration::from_micros(200);
+/// The duration of a step.
+const STEP_TIME: Duration = Duration::from_micros(4_500);
+/// The interval at which engines check whether they can start a step.
+const TICK_INTERVAL: Duration = Duration::from_micros(100);
 const SWITCHES: u64 = 20;
 const SEED: u64 = 6;
 const SIZES: [u16; 4] = [4, 16, 64, 256];
 
-/// What is due at a time, in the order in which it was put there.
-struct Due {
+/// An item of the event queue, ordered by time and then by insertion.
+struct Scheduled {
     at: Duration,
     order: u64,
-    what: What,
+    item: Item,
 }
 
-enum What {
-    Packet(Part<Packet>),
+enum Item {
+    Packet(Hashed<Packet>),
     Wake(Sender),
     Tick,
 }
 
-impl PartialEq for Due {
+impl PartialEq for Scheduled {
     fn eq(&self, other: &Self) -> bool {
         self.order == other.order
     }
 }
 
-impl Eq for Due {}
+impl Eq for Scheduled {}
 
-impl PartialOrd for Due {
+impl PartialOrd for Scheduled {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl Ord for Due {
+impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (self.at, self.order).cmp(&(other.at, other.order))
     }
@@ -74,14 +75,14 @@
     world: World,
     start: Instant,
     time: Duration,
-    queue: BinaryHeap<Reverse<Due>>,
+    queue: BinaryHeap<Reverse<Scheduled>>,
     order: u64,
     wakes: Vec<(Sender, Duration)>,
     started: Vec<Duration>,
     random: StdRng,
     loss: f64,
-    /// Whether the coordinator is gone.
-    orphaned: bool,
+    /// Whether the coordinator has crashed.
+    coordinator_crashed: bool,
     messages: u64,
     bytes: usize,
     stall: Duration,
@@ -91,11 +92,11 @@
     fn new(size: u16, loss: f64) -> Self {
         let start = clock::now();
         let mut world = World::new(size, Options::default(), start);
-        world.boot(1);
+        world.start_group(1);
         let coordinator = world.start_coordinator(Options::default());
         assert_eq!(coordinator, 0, "there is one coordinator");
-        world.settle();
-        world.near = false;
+        world.run_until_quiescent();
+        world.immediate_engine = false;
         world.cap = u64::MAX;
         world.wakes = Some(Vec::new());
         let mut run = Self {
@@ -108,28 +109,29 @@
             started: vec![Duration::ZERO; usize::from(size)],
             random: StdRng::seed_from_u64(SEED),
             loss,
-            orphaned: false,
+            coordinator_crashed: false,
             messages: 0,
             bytes: 0,
             stall: Duration::ZERO,
         };
-        run.put(TICK, What::Tick);
+        run.schedule(TICK_INTERVAL, Item::Tick);
         run
     }
 
-    fn put(&mut self, after: Duration, what: What) {
+    fn schedule(&mut self, after: Duration, item: Item) {
         self.order += 1;
-        self.queue.push(Reverse(Due {
+        self.queue.push(Reverse(Scheduled {
             at: self.time + after,
             order: self.order,
-            what,
+            item,
         }));
     }
 
-    /// Puts what the world has sent since on its way.
-    fn collect(&mut self) {
+    /// Schedules the packets and wakes that the world has produced since the last
+    /// call.
+    fn schedule_sent(&mut self) {
         for packet in std::mem::take(&mut self.world.net) {
-            if self.orphaned && matches!(packet.get(), Packet::Coordinator(..)) {
+            if self.coordinator_crashed && matches!(packet.get(), Packet::Coordinator(..)) {
                 continue;
             }
             let after = match packet.get() {
@@ -139,12 +141,12 @@
                     if self.random.random_bool(self.loss) {
                         continue;
                     }
-                    LINK
+                    LINK_LATENCY
                 }
-                Packet::Agent(..) | Packet::Coordinator(..) => CALL,
-                Packet::Order(..) | Packet::Read(..) | Packet::Answer(..) => LOCAL,
+                Packet::Agent(..) | Packet::Coordinator(..) => PLATFORM_LATENCY,
+                Packet::Order(..) | Packet::Read(..) | Packet::Answer(..) => ENGINE_LATENCY,
             };
-            self.put(after, What::Packet(packet));
+            self.schedule(after, Item::Packet(packet));
         }
         let wakes = self.world.wakes.replace(Vec::new()).unwrap_or_default();
         for (who, after) in wakes {
@@ -159,7 +161,7 @@
         self.bytes += bytes.len();
     }
 
-    /// Keeps the earliest wake of each, as the drivers do.
+    /// Keeps only the earliest wake of each process, like the drivers.
     fn wake_after(&mut self, who: Sender, after: Duration) {
         let at = self.time + after;
         let set = self
@@ -169,24 +171,24 @@
         if !set {
             self.wakes.retain(|(other, _)| *other != who);
             self.wakes.push((who, at));
-            self.put(after, What::Wake(who));
+            self.schedule(after, Item::Wake(who));
         }
     }
 
-    /// Takes in the next thing that is due.
+    /// Handles the next scheduled item.
     fn advance(&mut self) {
         let Reverse(due) = self.queue.pop().expect("ticks never end");
         self.time = due.at;
         self.world.now = self.start + self.time;
-        match due.what {
-            What::Packet(packet) => self.world.deliver(packet.get().clone()),
-            What::Wake(who) => self.wake(who),
-            What::Tick => {
+        match due.item {
+            Item::Packet(packet) => self.world.deliver(packet.get().clone()),
+            Item::Wake(who) => self.wake(who),
+            Item::Tick => {
                 self.tick();
-                self.put(TICK, What::Tick);
+                self.schedule(TICK_INTERVAL, Item::Tick);
             }
         }
-        self.collect();
+        self.schedule_sent();
     }
 
     fn wake(&mut self, who: Sender) {
@@ -208,7 +210,7 @@
             .map(|engine| engine.get().before());
         let slowest = all.min().unwrap_or_default();
         for rank in 0..self.started.len() {
-            let due = self.started[rank] + STEP;
+            let due = self.started[rank] + STEP_TIME;
             let engine = self.world.engines[rank].get();
             let in_turn = engine.before() <= slowest;
             if self.time >= due && in_turn && engine.ready().is_some() {
@@ -220,12 +222,12 @@
         assert_eq!(self.world.violation, None, "the ranks disagree");
     }
 
-    /// Runs until a switch has ended, and for a while after.
+    /// Runs until a switch has ended, and for 200 ms more.
     fn switch(&mut self, digest: u64) -> Ending {
         let ended = self.world.endings.len();
         let want = coordinator::Event::SwitchTo { digest };
         self.world.coordinator(0, want);
-        self.collect();
+        self.schedule_sent();
         while self.world.endings.len() == ended {
             self.advance();
         }
@@ -248,7 +250,7 @@
     pages.parse::<u64>().expect("it is a number") * PAGE
 }
 
-/// Creates a member that has its seat in a group of `size`.
+/// Creates a member that holds its seat in a group of `size`.
 fn seated_member(size: u16) -> Member {
     let base = Switch::default();
     let mut view = View::new(size, base);
@@ -264,8 +266,8 @@
     member
 }
 
-/// Prints the bytes that one member takes. The copies are returned, so that
-/// their memory is not used again.
+/// Prints the memory of one member in bytes. Returns the copies, to keep their
+/// memory from being reused by the next measurement.
 fn measure_memory(size: u16) -> Vec<Member> {
     const COPIES: usize = 5_000;
     let member = seated_member(size);
@@ -276,19 +278,19 @@
     copies
 }
 
-/// Measures a switch whose coordinator is gone once it has proposed, so that
-/// the ranks learn the outcome from one another.
-fn measure_orphan(size: u16) {
+/// Measures a switch whose coordinator crashes after its proposal. The ranks
+/// receive the outcome from one another.
+fn measure_without_coordinator(size: u16) {
     let mut run = Run::new(size, 0.0);
     run.world
         .coordinator(0, coordinator::Event::SwitchTo { digest: 1 });
-    run.collect();
+    run.schedule_sent();
     while run.world.votes.is_empty() {
         run.advance();
     }
-    run.orphaned = true;
-    let learned = |run: &Run| {
-        let mut engines = run.world.engines.iter().map(Part::get);
+    run.coordinator_crashed = true;
+    let has_applied = |run: &Run| {
+        let mut engines = run.world.engines.iter().map(Hashed::get);
         engines.all(|engine| {
             engine
                 .state
@@ -296,7 +298,7 @@
                 .is_some_and(|set| set.map.digest == 1)
         })
     };
-    while !learned(&run) {
+    while !has_applied(&run) {
         run.advance();
     }
     println!(
@@ -339,6 +341,6 @@
     println!("without its coordinator:");
     println!("ranks  messages      bytes  stall ms");
     for size in SIZES {
-        measure_orphan(size);
+        measure_without_coordinator(size);
     }
 }
--- a/crates/switch/tests/explore.rs
+++ b/crates/switch/tests/explore.rs
@@ -1,5 +1,5 @@
-//! Explores every course of events of small groups, breadth first, within a
-//! number of faults, on the code that decides.
+//! Explores all event orders of small groups, breadth first and with a bounded
+//! number of faults, on the production state machines.
 
 mod explorer;
 mod world;
@@ -8,7 +8,7 @@
 
 use cactusnotch_base::clock;
 use cactusnotch_switch::{Options, coordinator};
-use explorer::{ALL, Faults, LOSING, MIXED, WAITED_OUT, explore};
+use explorer::{AFTER_LEASE, ALL, Faults, MIXED, STATE_LOSS, explore};
 use world::{Packet, World};
 
 fn options() -> Options {
@@ -19,12 +19,12 @@
     }
 }
 
-/// A group at its second step whose coordinator wants another map.
+/// A group at its second step whose coordinator has begun a switch.
 fn preparing(size: u16, options: Options) -> World {
     let mut world = World::new(size, options, clock::now());
-    world.boot(1);
+    world.start_group(1);
     let first = world.start_coordinator(options);
-    world.settle();
+    world.run_until_quiescent();
     world.coordinator(first, coordinator::Event::SwitchTo { digest: 1 });
     world.cap = 3;
     world
@@ -51,7 +51,8 @@
     })
 }
 
-/// A group whose ranks have all promised and whose coordinator tells them so.
+/// A group whose ranks have all promised and whose coordinator announces the
+/// outcome.
 fn deciding(size: u16) -> World {
     let mut world = proposing(size, options());
     world.cap = 1;
@@ -71,23 +72,23 @@
     })
 }
 
-/// A proposing group with a second coordinator, which has taken the lease
-/// while the first was paused, and whose preparations are on their way.
-fn contested(size: u16) -> World {
+/// A proposing group with a second coordinator, which acquired the lease while
+/// the first was paused, and whose `Prepare` messages are in flight.
+fn contending(size: u16) -> World {
     let mut world = proposing(size, options());
-    let held = std::mem::take(&mut world.net);
+    let delayed = std::mem::take(&mut world.net);
     world.cap = 1;
     let second = world.start_coordinator(options());
-    world.settle();
+    world.run_until_quiescent();
     world.now += options().lease;
     world.coordinator(second, coordinator::Event::Wake);
-    world.settle();
+    world.run_until_quiescent();
     world.coordinator(second, coordinator::Event::SwitchTo { digest: 2 });
     for _ in 0..2 {
         let packet = world.net.remove(0);
         world.deliver(packet.get().clone());
     }
-    world.net.extend(held);
+    world.net.extend(delayed);
     world.cap = 3;
     world
 }
@@ -149,14 +150,14 @@
         ..NONE
     };
     let mut world = deciding(2);
-    world.near_platform = true;
+    world.immediate_platform = true;
     explore("2 ranks deciding, 2 replacements", world, faults, MIXED, 8);
 }
 
 #[test]
 fn two_ranks_with_two_coordinators() {
     let faults = NONE;
-    explore("2 ranks, 2 coordinators", contested(2), faults, ALL, 1);
+    explore("2 ranks, 2 coordinators", contending(2), faults, ALL, 1);
 }
 
 #[test]
@@ -176,8 +177,8 @@
         ..NONE
     };
     let mut world = proposing(2, options);
-    world.near_platform = true;
-    explore("2 ranks, fencing ignored", world, faults, WAITED_OUT, 8);
+    world.immediate_platform = true;
+    explore("2 ranks, fencing ignored", world, faults, AFTER_LEASE, 8);
 }
 
 #[test]
@@ -193,7 +194,7 @@
         ..NONE
     };
     let mut world = deciding(3);
-    world.near_platform = true;
+    world.immediate_platform = true;
     explore("3 ranks deciding, 1 replacement", world, faults, ALL, 8);
 }
 
@@ -205,8 +206,14 @@
         ..NONE
     };
     let mut world = proposing(2, options());
-    world.near_platform = true;
-    explore("2 ranks, 1 loss, 1 replacement", world, faults, LOSING, 8);
+    world.immediate_platform = true;
+    explore(
+        "2 ranks, 1 loss, 1 replacement",
+        world,
+        faults,
+        STATE_LOSS,
+        8,
+    );
 }
 
 #[test]
@@ -217,7 +224,7 @@
         ..NONE
     };
     let mut world = deciding(2);
-    world.near_platform = true;
+    world.immediate_platform = true;
     explore(
         "2 ranks deciding, 2 replacements of all kinds",
         world,
@@ -226,7 +233,7 @@
         8,
     );
     let mut world = deciding(3);
-    world.near_platform = true;
-    let kinds = &LOSING[..1];
+    world.immediate_platform = true;
+    let kinds = &STATE_LOSS[..1];
     explore("3 ranks deciding, 2 replacements", world, faults, kinds, 32);
 }
--- a/crates/switch/tests/explorer/mod.rs
+++ b/crates/switch/tests/explorer/mod.rs
@@ -1,4 +1,4 @@
-//! A breadth-first explorer of what may happen to a group.
+//! A breadth-first explorer of the reachable states of a group.
 
 use std::collections::{HashSet, VecDeque};
 use std::rc::Rc;
@@ -6,34 +6,35 @@
 use cactusnotch_base::clock;
 use cactusnotch_switch::{coordinator, rank};
 
-use crate::world::{Packet, Part, World};
+use crate::world::{Hashed, Packet, World};
 
-/// How many faults of each kind a course of events may have.
+/// The number of faults of each kind in one event order.
 #[derive(Debug, Clone, Copy, Hash)]
 pub struct Faults {
-    /// Packets lost.
+    /// Lost packets.
     pub losses: u8,
-    /// Packets delivered twice.
+    /// Duplicate deliveries.
     pub duplicates: u8,
-    /// Wakes before their time, such as those of a process that was paused.
+    /// Timers that fire early, such as those of a process that was paused.
     pub wakes: u8,
-    /// Replacements: of rank, agent or engine, the former agent alive or not.
+    /// Replacements of a rank, agent or engine, with the former agent alive or
+    /// not.
     pub replacements: u8,
 }
 
-/// What happened to a group, for the report of a failure.
+/// A transition of the group, printed when a check fails.
 #[derive(Debug, Clone)]
 #[expect(dead_code, reason = "the fields are read by printing them")]
-enum Happening {
+enum Transition {
     Start,
-    Delivered(Part<Packet>),
-    Lost(Part<Packet>),
-    Unanswered(Part<Packet>),
-    Duplicated(Part<Packet>),
+    Delivered(Hashed<Packet>),
+    Lost(Hashed<Packet>),
+    AnswerLost(Hashed<Packet>),
+    Duplicated(Hashed<Packet>),
     Step(usize),
-    NextWoke,
-    AgentWoke(usize),
-    CoordinatorWoke(usize),
+    NextWake,
+    AgentWake(usize),
+    CoordinatorWake(usize),
     Replaced { rank: usize, kind: Replacement },
 }
 
@@ -43,9 +44,9 @@
     RankAndAgentPaused,
     Agent,
     AgentPaused,
-    /// The agent alone, whose lease is waited out: what it sent has arrived or
-    /// is lost by then.
-    AgentWaitedOut,
+    /// The agent alone, after its lease has expired: its orders have arrived or
+    /// are lost by then.
+    AgentAfterLease,
     Rank,
 }
 
@@ -57,31 +58,32 @@
     Replacement::Rank,
 ];
 
-/// Those in which a part loses all it knew at once.
-pub const LOSING: &[Replacement] = &[Replacement::RankAndAgent, Replacement::Agent];
+/// The replacements in which a process loses its state at once.
+pub const STATE_LOSS: &[Replacement] = &[Replacement::RankAndAgent, Replacement::Agent];
 
-/// Those that are safe where engines ignore fencing numbers.
-pub const WAITED_OUT: &[Replacement] = &[Replacement::RankAndAgent, Replacement::AgentWaitedOut];
+/// The replacements that are safe if engines ignore fencing numbers.
+pub const AFTER_LEASE: &[Replacement] = &[Replacement::RankAndAgent, Replacement::AgentAfterLease];
 
-/// One of each: the rank with its agent, the agent alone, the rank alone.
+/// One replacement of each kind: the rank with its agent, the agent alone, the
+/// rank alone.
 pub const MIXED: &[Replacement] = &[
     Replacement::RankAndAgent,
     Replacement::AgentPaused,
     Replacement::Rank,
 ];
 
-/// A state, with the way that led to it.
+/// A state, with the path that led to it.
 #[derive(Clone)]
 struct Node {
     world: World,
     faults: Faults,
     kinds: &'static [Replacement],
-    way: Rc<Way>,
+    path: Rc<Path>,
 }
 
-struct Way {
-    before: Option<Rc<Way>>,
-    last: Happening,
+struct Path {
+    before: Option<Rc<Path>>,
+    last: Transition,
 }
 
 impl Node {
@@ -110,36 +112,36 @@
         next
     }
 
-    fn with(&self, next: &mut Vec<Self>, last: Happening, change: impl FnOnce(&mut Self)) {
+    fn with(&self, next: &mut Vec<Self>, last: Transition, change: impl FnOnce(&mut Self)) {
         let mut node = self.clone();
         change(&mut node);
-        let before = Some(self.way.clone());
-        node.way = Rc::new(Way { before, last });
+        let before = Some(self.path.clone());
+        node.path = Rc::new(Path { before, last });
         next.push(node);
     }
 
     fn deliveries(&self, next: &mut Vec<Self>) {
         for (at, packet) in self.world.net.iter().enumerate() {
             let deliver = |node: &mut Self| node.world.deliver(packet.get().clone());
-            self.with(next, Happening::Delivered(packet.clone()), |node| {
+            self.with(next, Transition::Delivered(packet.clone()), |node| {
                 node.world.net.remove(at);
                 deliver(node);
             });
             if self.faults.losses > 0 {
-                self.with(next, Happening::Lost(packet.clone()), |node| {
+                self.with(next, Transition::Lost(packet.clone()), |node| {
                     node.faults.losses -= 1;
                     node.world.net.remove(at);
                 });
                 if matches!(packet.get(), Packet::Order(..)) {
-                    self.with(next, Happening::Unanswered(packet.clone()), |node| {
+                    self.with(next, Transition::AnswerLost(packet.clone()), |node| {
                         node.faults.losses -= 1;
                         node.world.net.remove(at);
-                        node.world.deliver_unanswered(packet.get().clone());
+                        node.world.deliver_without_answer(packet.get().clone());
                     });
                 }
             }
             if self.faults.duplicates > 0 {
-                self.with(next, Happening::Duplicated(packet.clone()), |node| {
+                self.with(next, Transition::Duplicated(packet.clone()), |node| {
                     node.faults.duplicates -= 1;
                     deliver(node);
                 });
@@ -150,17 +152,18 @@
     fn steps(&self, next: &mut Vec<Self>) {
         for rank in 0..self.world.engines.len() {
             if self.world.can_start(rank) {
-                self.with(next, Happening::Step(rank), |node| {
+                self.with(next, Transition::Step(rank), |node| {
                     node.world.start_step(rank);
                 });
             }
         }
     }
 
-    /// Timers fire in turn when nothing else can happen, or early as a fault.
+    /// Timers fire in turn when no other transition is possible, or early as a
+    /// fault.
     fn wakes(&self, next: &mut Vec<Self>) {
-        if self.world.is_quiet() && !self.world.is_past_cap() {
-            self.with(next, Happening::NextWoke, |node| {
+        if self.world.is_quiescent() && !self.world.is_past_cap() {
+            self.with(next, Transition::NextWake, |node| {
                 node.world.wake_next();
             });
         }
@@ -169,7 +172,7 @@
         }
         for (index, agent) in self.world.agents.iter().enumerate() {
             if agent.alive && !agent.member.get().is_idle() {
-                self.with(next, Happening::AgentWoke(index), |node| {
+                self.with(next, Transition::AgentWake(index), |node| {
                     node.faults.wakes -= 1;
                     node.world.agent(index, rank::Event::Wake);
                 });
@@ -177,7 +180,7 @@
         }
         for (index, part) in self.world.coordinators.iter().enumerate() {
             if !part.get().is_idle() {
-                self.with(next, Happening::CoordinatorWoke(index), |node| {
+                self.with(next, Transition::CoordinatorWake(index), |node| {
                     node.faults.wakes -= 1;
                     node.world.coordinator(index, coordinator::Event::Wake);
                 });
@@ -192,7 +195,7 @@
         for rank in 0..self.world.engines.len() {
             for kind in self.kinds {
                 let kind = *kind;
-                self.with(next, Happening::Replaced { rank, kind }, |node| {
+                self.with(next, Transition::Replaced { rank, kind }, |node| {
                     node.faults.replacements -= 1;
                     node.replace(rank, kind);
                 });
@@ -202,60 +205,60 @@
 
     fn replace(&mut self, rank: usize, kind: Replacement) {
         use Replacement::{
-            Agent, AgentPaused, AgentWaitedOut, Rank, RankAndAgent, RankAndAgentPaused,
+            Agent, AgentAfterLease, AgentPaused, Rank, RankAndAgent, RankAndAgentPaused,
         };
         if matches!(kind, RankAndAgent | RankAndAgentPaused | Rank) {
             self.world.replace_engine(rank);
         }
-        if matches!(kind, AgentWaitedOut) {
+        if matches!(kind, AgentAfterLease) {
             self.world.drop_orders(rank);
         }
         match kind {
-            RankAndAgent | Agent | AgentWaitedOut => self.world.replace_agent(rank, false),
+            RankAndAgent | Agent | AgentAfterLease => self.world.replace_agent(rank, false),
             RankAndAgentPaused | AgentPaused => self.world.replace_agent(rank, true),
             Rank => {}
         }
     }
 
-    /// Fails with the way that led here.
-    fn fail(&self, why: &str) -> ! {
-        let mut ways = vec![&self.way];
-        while let Some(before) = ways.last().and_then(|way| way.before.as_ref()) {
-            ways.push(before);
+    /// Prints the path to this state and panics.
+    fn fail(&self, reason: &str) -> ! {
+        let mut paths = vec![&self.path];
+        while let Some(before) = paths.last().and_then(|path| path.before.as_ref()) {
+            paths.push(before);
         }
-        for way in ways.iter().rev() {
-            println!("{:?}", way.last);
+        for path in paths.iter().rev() {
+            println!("{:?}", path.last);
         }
-        panic!("{why}: {:?}", self.world);
+        panic!("{reason}: {:?}", self.world);
     }
 }
 
-/// The largest number of rounds that a group without faults may need.
-const ROUNDS: usize = 60;
-/// How many steps further a group without faults has to come.
-const FURTHER: u64 = 3;
+/// The maximum number of rounds in which a group without faults must progress.
+const MAX_ROUNDS: usize = 60;
+/// The number of steps by which a group without faults must progress.
+const PROGRESS_STEPS: u64 = 3;
 
-/// Checks that the group comes further once faults have stopped. `good` holds
-/// the states from which it does.
-fn goes_on(world: &World, good: &mut HashSet<u128>) -> Result<(), String> {
+/// Checks that the group makes progress once faults have stopped. `progressing`
+/// caches the states from which it does.
+fn makes_progress(world: &World, progressing: &mut HashSet<u128>) -> Result<(), String> {
     let mut world = world.clone();
-    let goal = world.cap + FURTHER;
+    let goal = world.cap + PROGRESS_STEPS;
     world.cap = goal;
-    let mut path = Vec::new();
-    for _ in 0..ROUNDS {
+    let mut hashes = Vec::new();
+    for _ in 0..MAX_ROUNDS {
         let hash = world.hash();
-        path.push(hash);
-        if good.contains(&hash) {
-            good.extend(path);
+        hashes.push(hash);
+        if progressing.contains(&hash) {
+            progressing.extend(hashes);
             return Ok(());
         }
-        world.settle();
+        world.run_until_quiescent();
         if let Some(violation) = world.violation {
             return Err(violation);
         }
         let steps = world.engines.iter().map(|engine| engine.get().state.next.0);
         if steps.min() > Some(goal) && world.is_settled() {
-            good.extend(path);
+            progressing.extend(hashes);
             return Ok(());
         }
         world.wake_all();
@@ -263,28 +266,28 @@
     Err("the group does not go on".into())
 }
 
-/// Visits every state, and checks of one in `every` that the group goes on
-/// from it. Returns how many states there are.
+/// Visits every reachable state, checks one in `check_interval` of them for
+/// progress, and prints the number of states.
 pub fn explore(
     name: &str,
     world: World,
     faults: Faults,
     kinds: &'static [Replacement],
-    every: usize,
+    check_interval: usize,
 ) {
-    let began = clock::now();
-    let way = Rc::new(Way {
+    let started = clock::now();
+    let path = Rc::new(Path {
         before: None,
-        last: Happening::Start,
+        last: Transition::Start,
     });
     let start = Node {
         world,
         faults,
         kinds,
-        way,
+        path,
     };
     let mut seen = HashSet::from([start.hash()]);
-    let mut good = HashSet::new();
+    let mut progressing = HashSet::new();
     let mut queue = VecDeque::from([start]);
     let mut checked = 0_usize;
     let mut visited = 0_usize;
@@ -292,10 +295,10 @@
         if let Some(violation) = &node.world.violation {
             node.fail(violation);
         }
-        if visited.is_multiple_of(every) {
+        if visited.is_multiple_of(check_interval) {
             checked += 1;
-            if let Err(why) = goes_on(&node.world, &mut good) {
-                node.fail(&why);
+            if let Err(reason) = makes_progress(&node.world, &mut progressing) {
+                node.fail(&reason);
             }
         }
         visited += 1;
@@ -303,6 +306,6 @@
         queue.extend(next.filter(|next| seen.insert(next.hash())));
     }
     let states = seen.len();
-    let spent = began.elapsed();
-    println!("{name}: {states} states visited, {checked} checked for progress, {spent:.1?}");
+    let elapsed = started.elapsed();
+    println!("{name}: {states} states visited, {checked} checked for progress, {elapsed:.1?}");
 }
--- a/crates/switch/tests/larger.rs
+++ b/crates/switch/tests/larger.rs
@@ -1,5 +1,5 @@
-//! Random courses of events of groups of 8 to 16 ranks, with several switches,
-//! losses, duplicates, replacements and outages of the platform.
+//! Random event orders of groups of 8 to 16 ranks, with several switches,
+//! losses, duplicates, replacements and platform outages.
 
 mod world;
 
@@ -14,10 +14,10 @@
 
 const EVENTS: usize = 8_000;
 const REPLACEMENTS: usize = 4;
-const ROUNDS: usize = 200;
-const FURTHER: u64 = 10;
+const MAX_ROUNDS: usize = 200;
+const PROGRESS_STEPS: u64 = 10;
 
-/// A group, moved on by chance.
+/// A random walk of a group.
 struct Walk {
     world: World,
     random: StdRng,
@@ -33,9 +33,9 @@
             ..Options::default()
         };
         let mut world = World::new(size, options, clock::now());
-        world.boot(1);
+        world.start_group(1);
         world.start_coordinator(options);
-        world.settle();
+        world.run_until_quiescent();
         world.cap = u64::MAX;
         Self {
             world,
@@ -51,9 +51,9 @@
             0..800 => self.deliver(),
             800..960 => self.step(),
             960..994 => self.wake(),
-            994..996 => self.world.platform = !self.world.platform,
+            994..996 => self.world.platform_available = !self.world.platform_available,
             996..997 => self.replace(),
-            _ => self.want(),
+            _ => self.request_switch(),
         }
     }
 
@@ -102,7 +102,7 @@
         self.world.replace_agent(rank, paused);
     }
 
-    fn want(&mut self) {
+    fn request_switch(&mut self) {
         if self.world.coordinators[0].get().is_idle() {
             self.digest += 1;
             let digest = self.digest;
@@ -111,18 +111,18 @@
         }
     }
 
-    /// Lets the group run without faults until all have come further. What was
-    /// decided for a later step is awaited.
+    /// Runs the group without faults until all ranks have progressed, and until
+    /// switches decided for a later step are in force.
     fn finish(&mut self) -> bool {
-        self.world.platform = true;
+        self.world.platform_available = true;
         let steps = |world: &World| {
             let steps = world.engines.iter().map(|engine| engine.get().state.next.0);
             steps.max().unwrap_or_default()
         };
-        let goal = steps(&self.world) + FURTHER;
+        let goal = steps(&self.world) + PROGRESS_STEPS;
         self.world.cap = goal;
-        for _ in 0..ROUNDS {
-            self.world.settle();
+        for _ in 0..MAX_ROUNDS {
+            self.world.run_until_quiescent();
             if self.world.violation.is_some() {
                 return false;
             }
@@ -145,7 +145,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// The ranks agree in every step and go on once faults have stopped.
+    /// The ranks use one map in every step and make progress once faults have
+    /// stopped.
     #[test]
     fn larger_groups_agree_and_go_on(size in 8_u16..=16, loss in 0.0..0.1, seed: u64) {
         let mut walk = Walk::new(size, loss, seed);
@@ -157,7 +158,8 @@
     }
 }
 
-/// Without loss the walks do switch, so that the property says something.
+/// Walks without loss apply switches, which shows that the property above is not
+/// vacuous.
 #[test]
 fn walks_without_loss_switch() {
     let mut applied = 0;
--- a/crates/switch/tests/world/engine.rs
+++ b/crates/switch/tests/world/engine.rs
@@ -1,4 +1,4 @@
-//! A rank's engine, as far as the agreement sees it.
+//! A model of a rank's engine, as observed by the agreement.
 
 use cactusnotch_base::number::{Fence, Step};
 use cactusnotch_order::{Answer, Fencing, Order, Reply};
@@ -7,14 +7,14 @@
 
 #[derive(Debug, Clone, Hash)]
 pub struct Engine {
-    /// Whether it checks fencing numbers.
+    /// Whether the engine checks fencing numbers.
     checks: bool,
     pub fence: Fence,
     pub state: State,
 }
 
 impl Engine {
-    /// A new engine process, which will join the others at step `next`.
+    /// Creates a new engine process, which will join the others at step `next`.
     pub fn new(life: u64, next: Step, fencing: Fencing) -> Self {
         Self {
             checks: fencing == Fencing::Checked,
@@ -50,9 +50,9 @@
         }
     }
 
-    fn apply(&mut self, wish: Action) -> Reply {
+    fn apply(&mut self, action: Action) -> Reply {
         let state = &mut self.state;
-        match wish {
+        match action {
             Action::Hold(step) if state.next > step => return Reply::Refused,
             Action::Hold(step) if !state.holds.contains(&step) => state.holds.push(step),
             Action::Release(step) => state.holds.retain(|held| *held != step),
@@ -67,13 +67,13 @@
         Reply::Taken
     }
 
-    /// The step before the next one: all ranks have to have started it before
-    /// the next one can start.
+    /// Returns the step before the next one. All ranks must have started it
+    /// before the next one can start.
     pub fn before(&self) -> u64 {
         self.state.next.0 - 1
     }
 
-    /// The map of the next step, if the engine may start it.
+    /// Returns the map of the next step, if the engine may start it.
     pub fn ready(&self) -> Option<Map> {
         let next = self.state.next;
         let plan = self.state.plan.iter().rev();
--- a/crates/switch/tests/world/mod.rs
+++ b/crates/switch/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A group with its network, platform and engines, every part of which can be
-//! cloned, hashed and moved on one event at a time.
+//! A model of a group with its network, platform and engines, which can be cloned,
+//! hashed and advanced one event at a time.
 #![allow(dead_code, reason = "each test uses a part of the world")]
 
 pub mod engine;
@@ -23,18 +23,18 @@
 use xxhash_rust::xxh3::Xxh3;
 
 pub use engine::Engine;
-use obey::seated;
-pub use part::{Packet, Part, Sender};
+use obey::seat_holder;
+pub use part::{Hashed, Packet, Sender};
 
-/// More packets than a group in these tests sends without a timer.
+/// A limit on deliveries, above what a group in these tests sends without a timer.
 const DELIVERIES: usize = 1_000_000;
 
-/// One agent process of a rank. A dead one takes part in nothing.
+/// One agent process of a rank. It handles no events unless it is alive.
 #[derive(Debug, Clone)]
 pub struct Agent {
     pub rank: usize,
     pub alive: bool,
-    pub member: Part<Member>,
+    pub member: Hashed<Member>,
 }
 
 #[derive(Debug, Clone)]
@@ -42,33 +42,33 @@
     pub now: Instant,
     pub options: Options,
     pub agents: Vec<Agent>,
-    pub coordinators: Vec<Part<Coordinator>>,
-    pub engines: Vec<Part<Engine>>,
-    pub net: Vec<Part<Packet>>,
-    pub group: Part<(Version, View)>,
+    pub coordinators: Vec<Hashed<Coordinator>>,
+    pub engines: Vec<Hashed<Engine>>,
+    pub net: Vec<Hashed<Packet>>,
+    pub group: Hashed<(Version, View)>,
     pub lease: Option<(Version, Lease)>,
-    /// Whether engines answer at once, unless the answer is lost.
-    pub near: bool,
-    /// Whether the platform answers at once.
-    pub near_platform: bool,
-    /// Whether the platform answers.
-    pub platform: bool,
+    /// Whether answers of engines are delivered at once, unless lost.
+    pub immediate_engine: bool,
+    /// Whether answers of the platform are delivered at once.
+    pub immediate_platform: bool,
+    /// Whether the platform is reachable.
+    pub platform_available: bool,
     pub platform_calls: u64,
-    /// The epoch that was used in each step of this generation.
+    /// The epoch that was used in each step since the engines started.
     pub used: Vec<Option<Epoch>>,
     pub votes: Vec<(usize, Id, bool)>,
-    pub lives: u64,
-    /// Wakes that were asked for, if a driver keeps the time.
+    pub incarnations: u64,
+    /// The requested wakes, if a driver simulates time.
     pub wakes: Option<Vec<(Sender, Duration)>>,
-    /// The sender of the message that is being taken in.
-    heard: Option<Sender>,
-    /// Whose timer fires next.
-    pub turn: usize,
+    /// The sender of the message that is being handled.
+    message_sender: Option<Sender>,
+    /// The index of the agent or coordinator whose timer fires next.
+    pub next_timer: usize,
     /// The last step that engines may start.
     pub cap: u64,
-    /// What went wrong, if anything.
+    /// The first violated property, if any.
     pub violation: Option<String>,
-    /// Ended switches, in order.
+    /// The results of switches, in the order in which they ended.
     pub endings: Vec<coordinator::Ending>,
 }
 
@@ -88,26 +88,26 @@
             coordinators: Vec::new(),
             engines: Vec::new(),
             net: Vec::new(),
-            group: Part::new((Version(1), View::new(size, base))),
+            group: Hashed::new((Version(1), View::new(size, base))),
             lease: None,
-            near: true,
-            near_platform: false,
-            platform: true,
+            immediate_engine: true,
+            immediate_platform: false,
+            platform_available: true,
             platform_calls: 0,
             used: Vec::new(),
             votes: Vec::new(),
-            lives: 0,
+            incarnations: 0,
             wakes: None,
-            heard: None,
-            turn: 0,
+            message_sender: None,
+            next_timer: 0,
             cap: 0,
             violation: None,
             endings: Vec::new(),
         };
         for rank in 0..usize::from(size) {
-            world.lives += 1;
-            let engine = Engine::new(world.lives, Step(1), options.orders.fencing);
-            world.engines.push(Part::new(engine));
+            world.incarnations += 1;
+            let engine = Engine::new(world.incarnations, Step(1), options.orders.fencing);
+            world.engines.push(Hashed::new(engine));
             world.start_agent(rank);
         }
         world
@@ -118,16 +118,22 @@
         for agent in &self.agents {
             (agent.alive, agent.member.hash).hash(&mut hasher);
         }
-        for part in &self.coordinators {
-            part.hash.hash(&mut hasher);
+        for coordinator in &self.coordinators {
+            coordinator.hash.hash(&mut hasher);
         }
-        for part in &self.engines {
-            part.hash.hash(&mut hasher);
+        for engine in &self.engines {
+            engine.hash.hash(&mut hasher);
         }
         let net = self.net.iter().map(|packet| packet.hash);
         net.fold(0_u64, u64::wrapping_add).hash(&mut hasher);
-        (self.group.hash, &self.lease, self.platform, self.cap).hash(&mut hasher);
-        (&self.used, &self.votes, self.turn).hash(&mut hasher);
+        (
+            self.group.hash,
+            &self.lease,
+            self.platform_available,
+            self.cap,
+        )
+            .hash(&mut hasher);
+        (&self.used, &self.votes, self.next_timer).hash(&mut hasher);
         hasher.digest128()
     }
 
@@ -139,7 +145,7 @@
         self.agents.push(Agent {
             rank,
             alive: true,
-            member: Part::new(member),
+            member: Hashed::new(member),
         });
         self.agent(index, rank::Event::Start);
     }
@@ -148,23 +154,23 @@
         let index = self.coordinators.len();
         let process = Process::new(format!("coordinator-{index}"));
         self.coordinators
-            .push(Part::new(Coordinator::new(process, options)));
+            .push(Hashed::new(Coordinator::new(process, options)));
         self.coordinator(index, coordinator::Event::Start);
         index
     }
 
-    /// Replaces the agent of a rank. The former one lives on if `paused`.
+    /// Replaces the agent of a rank. The former one stays alive if `paused`.
     pub fn replace_agent(&mut self, rank: usize, paused: bool) {
         for agent in &mut self.agents {
             agent.alive &= paused || agent.rank != rank;
         }
-        self.sweep();
+        self.drop_undeliverable();
         self.start_agent(rank);
     }
 
     /// Replaces the engine of a rank by an empty one, which joins at the
-    /// furthest step that another engine has started. Orders on their way are
-    /// lost, as connections end with the process.
+    /// furthest step that another engine has started. Orders in flight are
+    /// lost, because connections close with the process.
     pub fn replace_engine(&mut self, rank: usize) {
         let others = self
             .engines
@@ -176,8 +182,12 @@
             engine.state.next.0 - u64::from(engine.state.started)
         });
         let next = Step(furthest.max().unwrap_or(1).max(1));
-        self.lives += 1;
-        self.engines[rank] = Part::new(Engine::new(self.lives, next, self.options.orders.fencing));
+        self.incarnations += 1;
+        self.engines[rank] = Hashed::new(Engine::new(
+            self.incarnations,
+            next,
+            self.options.orders.fencing,
+        ));
         self.drop_orders(rank);
         if self
             .engines
@@ -188,7 +198,7 @@
         }
     }
 
-    /// Loses all orders on their way to the engine of a rank.
+    /// Drops all orders in flight to the engine of a rank.
     pub fn drop_orders(&mut self, rank: usize) {
         let agents = &self.agents;
         self.net.retain(|packet| match packet.get() {
@@ -197,7 +207,7 @@
         });
     }
 
-    fn sweep(&mut self) {
+    fn drop_undeliverable(&mut self) {
         let agents = &self.agents;
         self.net.retain(|packet| match packet.get() {
             Packet::Agent(to, _) | Packet::Message(to, ..) | Packet::Answer(to, _) => {
@@ -211,9 +221,9 @@
         match packet {
             Packet::Agent(to, event) => self.agent(to, event),
             Packet::Message(to, sender, message) => {
-                self.heard = Some(sender);
+                self.message_sender = Some(sender);
                 self.agent(to, rank::Event::Message(message));
-                self.heard = None;
+                self.message_sender = None;
             }
             Packet::Coordinator(to, event) => self.coordinator(to, event),
             Packet::Answer(to, answer) => self.agent(to, rank::Event::Engine(answer)),
@@ -231,15 +241,15 @@
     }
 
     fn answer(&mut self, to: usize, answer: Answer<State>) {
-        if self.near {
+        if self.immediate_engine {
             self.agent(to, rank::Event::Engine(answer));
         } else {
             self.send(Packet::Answer(to, answer));
         }
     }
 
-    /// Has the packet take effect and loses the answer to it.
-    pub fn deliver_unanswered(&mut self, packet: Packet) {
+    /// Delivers the packet and drops the answer to it.
+    pub fn deliver_without_answer(&mut self, packet: Packet) {
         if let Packet::Order(from, order) = packet {
             let rank = self.agents[from].rank;
             self.engines[rank].change(|engine| engine.order(&order));
@@ -254,7 +264,7 @@
             _ => false,
         };
         if !lost {
-            self.net.push(Part::new(packet));
+            self.net.push(Hashed::new(packet));
         }
     }
 
@@ -267,11 +277,11 @@
             .member
             .change(|member| member.step(event, now));
         for command in commands {
-            self.obey_agent(index, command);
+            self.run_agent_command(index, command);
         }
     }
 
-    /// Tells whether an engine can start its next step.
+    /// Returns whether an engine can start its next step.
     pub fn can_start(&self, rank: usize) -> bool {
         let engine = self.engines[rank].get();
         let before = engine.before();
@@ -300,13 +310,14 @@
         self.engines[rank].change(Engine::start_step);
     }
 
-    /// Tells whether nothing is on its way and no engine can start a step.
-    pub fn is_quiet(&self) -> bool {
+    /// Returns whether no packet is in flight and no engine can start a step.
+    pub fn is_quiescent(&self) -> bool {
         self.net.is_empty() && !(0..self.engines.len()).any(|rank| self.can_start(rank))
     }
 
-    /// Lets everything happen in order until nothing is left, without wakes.
-    pub fn settle(&mut self) {
+    /// Delivers packets and starts steps in order until the group is quiescent,
+    /// without wakes.
+    pub fn run_until_quiescent(&mut self) {
         let mut deliveries = 0;
         loop {
             while !self.net.is_empty() {
@@ -322,63 +333,63 @@
         }
     }
 
-    /// Wakes every agent and coordinator that waits for something.
+    /// Wakes every agent and coordinator that is not idle.
     pub fn wake_all(&mut self) {
         for _ in 0..self.agents.len() + self.coordinators.len() {
             self.wake_next();
         }
     }
 
-    /// Tells whether every engine has started the last step it may.
+    /// Returns whether every engine has started the last step that it may.
     pub fn is_past_cap(&self) -> bool {
         let mut next = self.engines.iter().map(|engine| engine.get().state.next.0);
         next.all(|next| next > self.cap)
     }
 
-    /// Wakes the next agent or coordinator in turn that waits for something;
-    /// if the group stands still, also one that only reads its engine now and
-    /// then. Returns whether there was one.
+    /// Wakes the next agent or coordinator in turn that is not idle. While the
+    /// group is stalled, idle agents are woken as well, which only read their
+    /// engine periodically. Returns whether there was one to wake.
     pub fn wake_next(&mut self) -> bool {
-        let stands = !self.is_past_cap();
+        let is_stalled = !self.is_past_cap();
         let agents = self.agents.len();
         let all = agents + self.coordinators.len();
         for _ in 0..all {
-            let turn = self.turn % all;
-            self.turn = (turn + 1) % all;
-            let part = turn.checked_sub(agents);
-            let waits = match part {
-                Some(part) => !self.coordinators[part].get().is_idle(),
-                None if self.agents[turn].alive => {
-                    stands || !self.agents[turn].member.get().is_idle()
+            let current = self.next_timer % all;
+            self.next_timer = (current + 1) % all;
+            let index = current.checked_sub(agents);
+            let is_waiting = match index {
+                Some(index) => !self.coordinators[index].get().is_idle(),
+                None if self.agents[current].alive => {
+                    is_stalled || !self.agents[current].member.get().is_idle()
                 }
                 None => false,
             };
-            match part {
-                _ if !waits => continue,
-                Some(part) => self.coordinator(part, coordinator::Event::Wake),
-                None => self.agent(turn, rank::Event::Wake),
+            match index {
+                _ if !is_waiting => continue,
+                Some(index) => self.coordinator(index, coordinator::Event::Wake),
+                None => self.agent(current, rank::Event::Wake),
             }
             return true;
         }
         false
     }
 
-    /// Tells whether every rank has a part in the group and waits for nothing.
+    /// Returns whether every rank is active in the group and idle.
     pub fn is_settled(&self) -> bool {
         let view = &self.group.get().1;
         view.ranks().all(|rank| {
-            seated(view, rank).is_some_and(|index| {
+            seat_holder(view, rank).is_some_and(|index| {
                 let member = self.agents[index].member.get();
                 self.agents[index].alive && member.current().is_some() && member.is_idle()
             })
         })
     }
 
-    /// Starts the group and lets it run up to step `cap`.
-    pub fn boot(&mut self, cap: u64) {
+    /// Starts the group and runs it up to step `cap`.
+    pub fn start_group(&mut self, cap: u64) {
         self.cap = cap;
         for _ in 0..20 * self.agents.len() {
-            self.settle();
+            self.run_until_quiescent();
             if self.is_settled() {
                 return;
             }
--- a/crates/switch/tests/world/obey.rs
+++ b/crates/switch/tests/world/obey.rs
@@ -1,4 +1,4 @@
-//! Carrying out what agents and coordinators ask for.
+//! Execution of the commands of agents and coordinators.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use cactusnotch_switch::rank::{self, Retirement};
 use cactusnotch_switch::{Rank, View};
 
-use super::{Packet, Part, Sender, World};
+use super::{Hashed, Packet, Sender, World};
 use cactusnotch_switch::coordinator::Coordinator;
 
 impl World {
-    pub(super) fn obey_agent(&mut self, index: usize, command: rank::Command) {
+    pub(super) fn run_agent_command(&mut self, index: usize, command: rank::Command) {
         match command {
             rank::Command::ReadGroup => self.read_group(index),
             rank::Command::WriteGroup { version, view } => {
@@ -25,39 +25,39 @@
                 self.agent(index, rank::Event::Experts { map, experts });
             }
             rank::Command::Send { to, message } => {
-                self.note_vote(index, &message);
+                self.record_vote(index, &message);
                 self.route(index, to, message);
             }
             rank::Command::Reply(message) => {
-                if let Some(Sender::Agent(to)) = self.heard {
+                if let Some(Sender::Agent(to)) = self.message_sender {
                     self.send(Packet::Message(to, Sender::Agent(index), message));
                 }
             }
             rank::Command::Order(order) => self.send(Packet::Order(index, order)),
-            rank::Command::ReadEngine(fence) if self.near => {
+            rank::Command::ReadEngine(fence) if self.immediate_engine => {
                 self.deliver(Packet::Read(index, fence));
             }
             rank::Command::ReadEngine(fence) => self.send(Packet::Read(index, fence)),
             rank::Command::Retire(why) => {
                 self.agents[index].alive = false;
-                self.sweep();
+                self.drop_undeliverable();
                 let rank = self.agents[index].rank;
                 let newest = self.agents.iter().rposition(|agent| agent.rank == rank);
                 if why == Retirement::EngineLost && newest == Some(index) {
                     self.start_agent(rank);
                 }
             }
-            rank::Command::Wake(after) => self.note_wake(Sender::Agent(index), after),
+            rank::Command::Wake(after) => self.record_wake(Sender::Agent(index), after),
             rank::Command::Decided { .. } | rank::Command::InForce(_) => {}
         }
     }
 
     fn read_group(&mut self, index: usize) {
-        if self.platform {
+        if self.platform_available {
             self.platform_calls += 1;
             let (version, view) = self.group.get().clone();
             let event = rank::Event::Group { version, view };
-            if self.near_platform {
+            if self.immediate_platform {
                 self.agent(index, event);
             } else {
                 self.send(Packet::Agent(index, event));
@@ -66,25 +66,25 @@
     }
 
     fn write_group(&mut self, version: Version, view: View) {
-        if self.platform {
+        if self.platform_available {
             self.platform_calls += 1;
             if self.group.get().0 == version {
-                self.group = Part::new((Version(version.0 + 1), view));
+                self.group = Hashed::new((Version(version.0 + 1), view));
             }
         }
     }
 
-    /// Sends to the process that stands for the receiver in the sender's view.
+    /// Sends to the process that holds the receiver's seat in the sender's view.
     fn route(&mut self, from: usize, to: Peer, message: Message) {
         match to {
             Peer::Rank(rank) => {
-                let seat = seated(self.agents[from].member.get().view(), rank);
+                let seat = seat_holder(self.agents[from].member.get().view(), rank);
                 if let Some(to) = seat {
                     self.send(Packet::Message(to, Sender::Agent(from), message));
                 }
             }
             Peer::Coordinator(fence) => {
-                let holds = |part: &Part<Coordinator>| part.get().fence() == Some(fence);
+                let holds = |part: &Hashed<Coordinator>| part.get().fence() == Some(fence);
                 if let Some(to) = self.coordinators.iter().position(holds) {
                     let event = coordinator::Event::Message(message);
                     self.send(Packet::Coordinator(to, event));
@@ -93,8 +93,9 @@
         }
     }
 
-    /// It is a violation if a process changes its vote on a proposal.
-    fn note_vote(&mut self, index: usize, message: &Message) {
+    /// Records a vote. It is a violation if a process changes its vote on a
+    /// proposal.
+    fn record_vote(&mut self, index: usize, message: &Message) {
         if let Body::Vote { id, vote } = message.body {
             let promise = vote == Vote::Promise;
             let earlier = |(by, on, _): &&(usize, Id, bool)| *by == index && *on == id;
@@ -110,11 +111,11 @@
         let now = self.now;
         let commands = self.coordinators[index].change(|part| part.step(event, now));
         for command in commands {
-            self.obey_coordinator(index, command);
+            self.run_coordinator_command(index, command);
         }
     }
 
-    fn obey_coordinator(&mut self, index: usize, command: coordinator::Command) {
+    fn run_coordinator_command(&mut self, index: usize, command: coordinator::Command) {
         use coordinator::{Command, Event};
         match command {
             Command::ReadLease => self.read_lease(index),
@@ -136,17 +137,17 @@
                 self.send(Packet::Coordinator(index, Event::MapRecorded(map)));
             }
             Command::Send { to, message } => {
-                if let Some(to) = seated(&self.group.get().1, to) {
+                if let Some(to) = seat_holder(&self.group.get().1, to) {
                     self.send(Packet::Message(to, Sender::Coordinator(index), message));
                 }
             }
             Command::Ended(ending) => self.endings.push(ending),
-            Command::Wake(after) => self.note_wake(Sender::Coordinator(index), after),
+            Command::Wake(after) => self.record_wake(Sender::Coordinator(index), after),
             Command::LeaseLost => {}
         }
     }
 
-    fn note_wake(&mut self, who: Sender, after: Duration) {
+    fn record_wake(&mut self, who: Sender, after: Duration) {
         if let Some(wakes) = &mut self.wakes {
             wakes.push((who, after));
         }
@@ -159,7 +160,7 @@
     }
 
     fn read_group_for_coordinator(&mut self, index: usize) {
-        if self.platform {
+        if self.platform_available {
             self.platform_calls += 1;
             let (version, view) = self.group.get().clone();
             let event = coordinator::Event::Group { version, view };
@@ -168,8 +169,8 @@
     }
 }
 
-/// Returns the agent that has the seat of a rank in a view.
-pub(super) fn seated(view: &View, rank: Rank) -> Option<usize> {
+/// Returns the agent that holds the seat of a rank in a view.
+pub(super) fn seat_holder(view: &View, rank: Rank) -> Option<usize> {
     let (_, number) = view.seat(rank)?.process.as_str().split_once('-')?;
     number.parse().ok()
 }
--- a/crates/switch/tests/world/part.rs
+++ b/crates/switch/tests/world/part.rs
@@ -1,4 +1,4 @@
-//! A shared value with its hash, and what is on its way.
+//! Shared values with their hash, and packets in flight.
 
 use std::hash::{Hash, Hasher};
 use std::rc::Rc;
@@ -17,12 +17,12 @@
 
 /// A shared value with its hash.
 #[derive(Debug, Clone)]
-pub struct Part<T> {
+pub struct Hashed<T> {
     value: Rc<T>,
     pub hash: u64,
 }
 
-impl<T: Hash + Clone> Part<T> {
+impl<T: Hash + Clone> Hashed<T> {
     pub fn new(value: T) -> Self {
         let hash = digest(&value);
         let value = Rc::new(value);
@@ -40,7 +40,7 @@
     }
 }
 
-/// Something on its way; agents and coordinators by their index.
+/// A packet in flight. Agents and coordinators are given by their index.
 #[derive(Debug, Clone, Hash)]
 pub enum Packet {
     Agent(usize, rank::Event),
