--- a/crates/placement/examples/traces/trace.rs
+++ b/crates/placement/examples/traces/trace.rs
@@ -22,7 +22,7 @@
 pub const TOKENS: f64 = 256.0 * RANKS as f64;
 /// The speed of a rank in tokens per second.
 pub const SPEED: f64 = 2_000_000.0;
-/// The exponent by which popularity falls with the rank order of an expert.
+/// The exponent by which popularity falls with the position in the order of experts.
 const ZIPF_EXPONENT: f64 = 0.5;
 
 /// The scenario of a trace.
--- a/crates/placement/src/bundle.rs
+++ b/crates/placement/src/bundle.rs
@@ -4,7 +4,7 @@
 use crate::layer::Layer;
 use crate::search::{self, LayerMove, Ranks};
 
-/// The value of saved step time and the cost of moves, in one unit.
+/// The value of saved step time and the cost of moves, in the same unit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct CostModel {
     /// The value of one unit of a layer's step time, saved for one second.
--- a/crates/popularity/src/report.rs
+++ b/crates/popularity/src/report.rs
@@ -28,7 +28,7 @@
 pub struct Report {
     /// The rank.
     pub rank: Rank,
-    /// The incarnation of the rank; report numbers start anew in each.
+    /// The incarnation of the rank; report numbers restart in each.
     pub incarnation: Incarnation,
     /// The number of the report within the incarnation.
     pub sequence: Sequence,
--- a/crates/popularity/tests/estimates.rs
+++ b/crates/popularity/tests/estimates.rs
@@ -119,7 +119,7 @@
     replaced.incarnation = Incarnation(2);
     popularity
         .observe(&replaced)
-        .expect("numbers start anew in a new life");
+        .expect("numbers restart in a new incarnation");
     assert!(popularity.observe(&report(0, 11, 9_000.0)).is_err());
 }
 
