--- a/crates/placement/src/map.rs
+++ b/crates/placement/src/map.rs
@@ -110,7 +110,7 @@
     ///
     /// # Panics
     ///
-    /// Never: a shape has at most `u16::MAX` layers and experts.
+    /// Never, because a shape has at most `u16::MAX` layers and experts.
     pub fn cells(&self) -> impl Iterator<Item = (Cell, &[Replica])> {
         let shape = self.shape;
         (0..shape.layers)
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     ///
-    /// Never for a plan that a planner made.
+    /// Returns no error for a plan that a planner made.
     pub fn map(&self) -> Result<Map, map::Error> {
         self.map_after(self.moves.len())
     }
--- a/crates/switch/src/engine.rs
+++ b/crates/switch/src/engine.rs
@@ -28,7 +28,7 @@
     Use(Switch),
     /// Load the weights of an expert.
     Load(Expert),
-    /// Drop the weights of an expert.
+    /// Unload the weights of an expert.
     Unload(Expert),
 }
 
