--- a/crates/switch/tests/world/mod.rs
+++ b/crates/switch/tests/world/mod.rs
@@ -1,5 +1,5 @@
-//! A model of a group with its network, platform and engines, which can be cloned,
-//! hashed and advanced one event at a time.
+//! A model of a group with its network, platform and engines, which can be
+//! cloned, hashed and advanced one event at a time.
 #![allow(dead_code, reason = "each test uses a part of the world")]
 
 pub mod engine;
@@ -315,8 +315,7 @@
         self.net.is_empty() && !(0..self.engines.len()).any(|rank| self.can_start(rank))
     }
 
-    /// Delivers packets and starts steps in order until the group is quiescent,
-    /// without wakes.
+    /// Runs the group in order, without wakes, until it is quiescent.
     pub fn run_until_quiescent(&mut self) {
         let mut deliveries = 0;
         loop {
