--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -17,29 +17,29 @@
 use crate::answer::{self, Read};
 use crate::body::Outgoing;
 use crate::crash;
-use crate::decide::{Course, Failure, Next};
+use crate::decide::{Failure, Lifecycle, Next};
 use crate::dialect::Dialect;
 use crate::endpoint::Endpoint;
 use crate::exchange::{self, Failed, Reply, Unserved};
 use crate::intake;
-use crate::knowledge::Knowledge;
+use crate::knowledge::SharedState;
 use crate::pieces;
 use crate::pump::Pump;
 use crate::refusal::Refusal;
 use crate::request::{self, Call};
-use crate::route::Repeat;
+use crate::route::RetryPolicy;
 use crate::running::Running;
 
 /// How often it is looked whether there is room.
 const LOOK_AGAIN: Duration = Duration::from_millis(40);
 
 /// Counts a request as in flight until it is dropped.
-struct InFlight(Rc<Knowledge>);
+struct InFlight(Rc<SharedState>);
 
 impl InFlight {
-    fn new(knowledge: &Rc<Knowledge>) -> Self {
-        knowledge.in_flight.set(knowledge.in_flight.get() + 1);
-        Self(Rc::clone(knowledge))
+    fn new(shared: &Rc<SharedState>) -> Self {
+        shared.in_flight.set(shared.in_flight.get() + 1);
+        Self(Rc::clone(shared))
     }
 }
 
@@ -53,25 +53,31 @@
 
 /// Answers one request.
 pub(crate) async fn answer<D: Dialect>(
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     incoming: Request<Incoming>,
 ) -> Response<Outgoing> {
     let arrived = clock::now();
-    let guard = InFlight::new(&knowledge);
-    let call = match intake::admit::<D>(&knowledge, incoming, arrived).await {
+    let guard = InFlight::new(&shared);
+    let call = match intake::admit::<D>(&shared, incoming, arrived).await {
         Ok(call) => call,
         Err((refusal, id)) => {
-            account::refused(&knowledge, id.as_deref(), refusal, arrived);
-            return own::<D>(&knowledge, refusal, Duration::ZERO);
+            account::refused(&shared, id.as_deref(), refusal, arrived);
+            return own::<D>(&shared, refusal, Duration::ZERO);
         }
     };
     let service = call.judged.service.clone();
-    knowledge.budgets.borrow_mut().earn(&service, arrived);
-    let course = Course::new(call.judged.route.repeat, call.judged.route.attempts);
+    shared
+        .budgets
+        .borrow_mut()
+        .record_request(&service, arrived);
+    let lifecycle = Lifecycle::new(
+        call.judged.route.retry_policy,
+        call.judged.route.max_attempts,
+    );
     let mut flight = Flight {
-        knowledge: Rc::clone(&knowledge),
+        shared: Rc::clone(&shared),
         call,
-        course,
+        lifecycle,
         tried: Vec::new(),
         waited: false,
         sending: false,
@@ -82,13 +88,13 @@
         // An answer that is ready goes before the end of the time.
         biased;
         driven = flight.drive::<D>() => Some(driven),
-        () = knowledge.wake.due(until) => None,
+        () = shared.wake.wait_until(until) => None,
     };
-    let driven = driven.unwrap_or_else(|| Err(flight.course.time_up(flight.sending)));
+    let driven = driven.unwrap_or_else(|| Err(flight.lifecycle.timed_out(flight.sending)));
     match driven {
         Ok(Answered::Whole(head, body)) => {
             flight.log(head.status.as_u16(), "whole");
-            passed_on(&knowledge, head, Outgoing::Whole(Some(body)))
+            passed_on(&shared, head, Outgoing::Whole(Some(body)))
         }
         Ok(Answered::Pieces(reply, first)) => flight.pass_on::<D>(*reply, first, guard),
         Err(refusal) => flight.give::<D>(refusal),
@@ -103,9 +109,9 @@
 
 /// A request on its way.
 struct Flight {
-    knowledge: Rc<Knowledge>,
+    shared: Rc<SharedState>,
     call: Call,
-    course: Course,
+    lifecycle: Lifecycle,
     tried: Vec<name::Endpoint>,
     /// Whether it has waited for room.
     waited: bool,
@@ -122,18 +128,18 @@
         loop {
             // Timers stand still while the host sleeps.
             if self.call.until.left().is_zero() {
-                return Err(self.course.time_up(false));
+                return Err(self.lifecycle.timed_out(false));
             }
             let (endpoint, running) =
-                match exchange::choose(&self.knowledge, &self.call, &self.tried, clock::now()) {
+                match exchange::choose(&self.shared, &self.call, &self.tried, clock::now()) {
                     Ok(chosen) => chosen,
                     Err(unserved) if self.waits(&unserved) => {
                         self.wait().await;
                         continue;
                     }
-                    Err(Unserved::Busy) if self.course.sent() == 0 => return Err(Refusal::Busy),
-                    Err(Unserved::Held) if self.course.sent() == 0 => return Err(Refusal::Held),
-                    Err(Unserved::Busy | Unserved::Held) => return Err(self.course.given_up()),
+                    Err(Unserved::Busy) if self.lifecycle.sent() == 0 => return Err(Refusal::Busy),
+                    Err(Unserved::Held) if self.lifecycle.sent() == 0 => return Err(Refusal::Held),
+                    Err(Unserved::Busy | Unserved::Held) => return Err(self.lifecycle.exhausted()),
                     Err(Unserved::None(error)) => return Err(self.unserved(&error)),
                 };
             self.tried.push(running.endpoint().clone());
@@ -156,25 +162,25 @@
         endpoint: &Endpoint,
         running: Running,
     ) -> Result<Reply, Failed> {
-        let (before, tried) = (self.course.sent(), running.endpoint().clone());
-        let movable = self.call.judged.route.repeat == Repeat::Resume
-            && before + 1 < self.call.judged.route.attempts;
+        let (before, tried) = (self.lifecycle.sent(), running.endpoint().clone());
+        let movable = self.call.judged.route.retry_policy == RetryPolicy::Resume
+            && before + 1 < self.call.judged.route.max_attempts;
         self.sending = true;
         let last = self.call.head.last_event;
-        let (knowledge, call) = (&self.knowledge, &self.call);
+        let (shared, call) = (&self.shared, &self.call);
         let sent = tokio::select! {
             biased;
-            sent = exchange::send::<D>(knowledge, call, &mut self.course, endpoint, running, last) => Some(sent),
-            () = exchange::lost(knowledge, call, &self.tried, &tried), if movable => None,
+            sent = exchange::send::<D>(shared, call, &mut self.lifecycle, endpoint, running, last) => Some(sent),
+            () = exchange::lost(shared, call, &self.tried, &tried), if movable => None,
         };
         self.sending = false;
         sent.unwrap_or_else(|| {
             metrics::counter!(metric::GATEWAY_MOVED).increment(1);
-            let unsent = self.course.sent() == before;
+            let unsent = self.lifecycle.sent() == before;
             let failure = if unsent {
                 Failure::Unsent
             } else {
-                Failure::InDoubt
+                Failure::Uncertain
             };
             Err(Failed::new(failure, "the endpoint is lost"))
         })
@@ -182,7 +188,7 @@
 
     /// Reads an answer as far as it has to be known before it is passed on.
     async fn take(&mut self, mut reply: Reply) -> Result<Answered, Failed> {
-        let repeat = self.call.judged.route.repeat;
+        let repeat = self.call.judged.route.retry_policy;
         if self.call.judged.route.streaming && reply.head.status.is_success() {
             return Ok(Answered::Pieces(Box::new(reply), Bytes::new()));
         }
@@ -197,7 +203,7 @@
             }
         };
         let status = reply.head.status;
-        let more = self.course.sent() < self.call.judged.route.attempts;
+        let more = self.lifecycle.sent() < self.call.judged.route.max_attempts;
         if exchange::worth_repeating(status, repeat) && more {
             let cause = format!("the endpoint answered {status}");
             reply.lease.keep(reply.kept, clock::now());
@@ -207,7 +213,7 @@
         reply.running.piece(clock::now());
         if !status.is_server_error() {
             reply.running.whole();
-            self.knowledge.note_served(&self.call);
+            self.shared.note_served(&self.call);
         }
         reply.lease.keep(reply.kept, clock::now());
         Ok(Answered::Whole(reply.head, bytes))
@@ -234,30 +240,35 @@
             }
             Unserved::Busy | Unserved::None(_) => true,
         };
-        may_come && self.call.has_returned && self.course.sent() == 0 && clock::now() < last
+        may_come && self.call.has_returned && self.lifecycle.sent() == 0 && clock::now() < last
     }
 
     /// Returns the answer when no endpoint can be chosen.
     fn unserved(&self, error: &choice::Error) -> Refusal {
         let id = self.call.head.id.as_deref();
         let service = self.call.judged.service.as_str();
-        let evacuated = self.knowledge.evacuations.borrow().names().count();
-        let homes = self.call.judged.homes.as_ref().map(|homes| homes.join(","));
+        let evacuated = self.shared.evacuations.borrow().names().count();
+        let homes = self
+            .call
+            .judged
+            .allowed_regions
+            .as_ref()
+            .map(|homes| homes.join(","));
         tracing::info!(id, service, %error, evacuated, homes, "no endpoint chosen");
-        let given_up = self.course.given_up();
+        let exhausted = self.lifecycle.exhausted();
         let choice::Error::Withheld { first, .. } = *error else {
-            return given_up;
+            return exhausted;
         };
-        let wait = self.knowledge.throttled(id, service, first);
-        match given_up {
+        let wait = self.shared.record_throttled(id, service, first);
+        match exhausted {
             Refusal::NotRun => Refusal::Throttled { wait },
-            in_doubt => in_doubt,
+            uncertain => uncertain,
         }
     }
 
     fn affordable(&self) -> bool {
-        let mut budgets = self.knowledge.budgets.borrow_mut();
-        budgets.spend(&self.call.judged.service, clock::now())
+        let mut budgets = self.shared.budgets.borrow_mut();
+        budgets.try_spend(&self.call.judged.service, clock::now())
     }
 
     /// Finds out whether an endpoint has ended under the request, before it is sent to
@@ -266,19 +277,19 @@
         if let Some(cut) = failed.cut.take() {
             // What the send has left open stays so if the time is up meanwhile.
             self.sending = true;
-            crash::examine(&self.knowledge, &self.call, cut).await;
+            crash::examine(&self.shared, &self.call, cut).await;
             self.sending = false;
         }
     }
 
     /// Decides what follows a send without an answer.
     fn next(&mut self, failed: &Failed) -> Result<(), Refusal> {
-        let mut course = self.course;
-        let next = course.fail(failed.failure, || self.affordable());
-        self.course = course;
+        let mut lifecycle = self.lifecycle;
+        let next = lifecycle.after_failure(failed.failure, || self.affordable());
+        self.lifecycle = lifecycle;
         let id = self.call.head.id.as_deref();
         let endpoint = self.tried.last().map(name::Endpoint::as_str);
-        tracing::info!(id, endpoint, content = %self.call.content(), cause = failed.cause, next = ?next, "endpoint gave no answer");
+        tracing::info!(id, endpoint, content = %self.call.fingerprint(), cause = failed.cause, next = ?next, "endpoint gave no answer");
         match next {
             Next::Repeat => {
                 metrics::counter!(metric::GATEWAY_REPEATS).increment(1);
@@ -300,19 +311,19 @@
         let head = reply.head.clone();
         let length = head.headers.get(header::CONTENT_LENGTH);
         let left = length.and_then(|length| length.to_str().ok()?.parse().ok());
-        let response = passed_on(&self.knowledge, head, Outgoing::Pieces { receiver, left });
+        let response = passed_on(&self.shared, head, Outgoing::Pieces { receiver, left });
         let Self {
-            knowledge,
+            shared,
             call,
-            course,
+            lifecycle,
             tried,
             ..
         } = self;
         let status = response.status().as_u16();
         let pump = Pump {
-            knowledge,
+            shared,
             call,
-            course,
+            lifecycle,
             tried,
             sender,
             resumed: 0,
@@ -320,7 +331,7 @@
         tokio::task::spawn_local(async move {
             let (end, pump) = pump.run::<D>(reply, first).await;
             account::ended(
-                &pump.knowledge,
+                &pump.shared,
                 &pump.call,
                 &pump.tried,
                 status,
@@ -337,29 +348,29 @@
         if let Some((head, body)) = self.failure.take() {
             let outcome = format!("an endpoint's own failure, then: {refusal}");
             self.log(head.status.as_u16(), &outcome);
-            return passed_on(&self.knowledge, head, Outgoing::Whole(Some(body)));
+            return passed_on(&self.shared, head, Outgoing::Whole(Some(body)));
         }
         self.log(refusal.status().as_u16(), &refusal.to_string());
         let left = self.call.until.left();
-        own::<D>(&self.knowledge, refusal, left)
+        own::<D>(&self.shared, refusal, left)
     }
 
     fn log(&self, status: u16, outcome: &str) {
-        account::ended(&self.knowledge, &self.call, &self.tried, status, outcome, 0);
+        account::ended(&self.shared, &self.call, &self.tried, status, outcome, 0);
     }
 }
 
-fn own<D: Dialect>(knowledge: &Knowledge, refusal: Refusal, left: Duration) -> Response<Outgoing> {
+fn own<D: Dialect>(shared: &SharedState, refusal: Refusal, left: Duration) -> Response<Outgoing> {
     let mut response = refusal
-        .response::<D>(refusal.pause(left, knowledge.rng.borrow_mut().random()))
+        .response::<D>(refusal.pause(left, shared.rng.borrow_mut().random()))
         .map(|body| Outgoing::Whole(Some(body)));
-    close_if_stopping(knowledge, &mut response);
+    close_if_stopping(shared, &mut response);
     response
 }
 
 /// Writes an endpoint's answer for the caller.
 fn passed_on(
-    knowledge: &Knowledge,
+    shared: &SharedState,
     head: http::response::Parts,
     body: Outgoing,
 ) -> Response<Outgoing> {
@@ -367,12 +378,12 @@
     *response.status_mut() = head.status;
     *response.headers_mut() = head.headers;
     request::strip(response.headers_mut());
-    close_if_stopping(knowledge, &mut response);
+    close_if_stopping(shared, &mut response);
     response
 }
 
-fn close_if_stopping(knowledge: &Knowledge, response: &mut Response<Outgoing>) {
-    if knowledge.stopping.get().is_some() {
+fn close_if_stopping(shared: &SharedState, response: &mut Response<Outgoing>) {
+    if shared.stopping.get().is_some() {
         response
             .headers_mut()
             .insert(header::CONNECTION, http::HeaderValue::from_static("close"));
--- a/crates/switch/src/rank/engine.rs
+++ b/crates/switch/src/rank/engine.rs
@@ -210,7 +210,7 @@
     /// Returns whether an order to load or unload the expert is pending. The
     /// engine's state then does not show whether the expert stays loaded.
     fn has_pending_order(&self, expert: Expert) -> bool {
-        let mut wants = self.sender.iter().flat_map(Sender::wants);
+        let mut wants = self.sender.iter().flat_map(Sender::pending);
         wants.any(
             |action| matches!(action, Action::Load(own) | Action::Unload(own) if *own == expert),
         )
@@ -278,7 +278,7 @@
     /// Returns the steps that are held, or may become held by a pending order.
     fn held_steps(&self, engine: &State) -> Vec<Step> {
         let mut steps = engine.holds.clone();
-        let wants = self.sender.iter().flat_map(Sender::wants);
+        let wants = self.sender.iter().flat_map(Sender::pending);
         steps.extend(wants.filter_map(|action| match action {
             Action::Hold(step) => Some(*step),
             _ => None,
