--- a/crates/rebalance/src/agent.rs
+++ b/crates/rebalance/src/agent.rs
@@ -1,4 +1,4 @@
-//! The process beside a rank.
+//! The agent process beside a rank.
 
 mod due;
 mod finish;
@@ -28,44 +28,45 @@
 use crate::cadence::Cadence;
 use crate::codec::{Codec, Order};
 use crate::endpoint::Endpoint;
-use crate::message::{Ask, Standing};
+use crate::message::{HoldRequest, Status};
 use crate::neighbours::Neighbours;
 use crate::rank::Rank;
-use crate::relay::{Gathering, Telling};
-use crate::rescue::Rescue;
+use crate::relay::{Aggregation, Broadcast};
 use crate::state::State;
+use crate::takeover::Takeover;
 
-/// How often the endpoint's state is read while no round is under way.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
-/// The same during a round, whose phases it delays.
-const LOOK_EVERY_BUSY: Duration = Duration::from_millis(30);
-/// How long an entry's subscription lasts; entries renew it each second.
-const SUBSCRIPTION: Duration = Duration::from_secs(4);
-/// The largest datagram that is read.
+/// The interval at which the endpoint's state is read while no round is under way.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
+/// The same during a round, each phase of which waits for it.
+const POLL_INTERVAL_BUSY: Duration = Duration::from_millis(30);
+/// How long the subscription of an entry lasts. Entries renew it each second.
+const SUBSCRIPTION_LIFETIME: Duration = Duration::from_secs(4);
+/// The largest datagram that is read, in bytes.
 const DATAGRAM_MAX: usize = 16 * 1024;
 
-/// The settings of an agent's process.
+/// The settings of an agent process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
     /// The name of the host.
     pub host: String,
-    /// Where the endpoint takes requests.
+    /// The address at which the endpoint accepts requests.
     pub endpoint: SocketAddr,
     /// The endpoint's service.
     pub service: String,
-    /// Where entries send datagrams.
+    /// The address that receives datagrams from entries.
     pub entries: SocketAddr,
-    /// Where other agents send datagrams; the port is the same on all hosts.
+    /// The address that receives datagrams from other agents. The port is the same on all
+    /// hosts.
     pub agents: SocketAddr,
-    /// Where metrics are scraped.
+    /// The address at which metrics are scraped.
     pub metrics: SocketAddr,
-    /// Where the platform's store is.
+    /// The address of the platform's store.
     pub store: SocketAddr,
-    /// The bytes a second that the host's link carries.
+    /// The bandwidth of the host's link, in bytes per second.
     pub link: u32,
 }
 
-/// Why an agent can't start.
+/// An agent could not start.
 #[derive(Debug, Display, Error)]
 #[display("{step}: {error}")]
 pub struct Failure {
@@ -73,9 +74,9 @@
     error: io::Error,
 }
 
-/// An order that was given, until the endpoint shows its effect.
+/// An order that was sent and whose effect has not yet appeared in the endpoint's state.
 #[derive(Debug)]
-struct Given {
+struct PendingOrder {
     order: Order,
     begun: bool,
     at: Instant,
@@ -89,36 +90,37 @@
     endpoint: Endpoint<C>,
     neighbours: Neighbours<S>,
     rank: Rank,
-    /// A number that no other life of this process has.
+    /// A number that is unique to this incarnation of the process.
     term: u64,
-    /// The addresses of the ranks' agents, as far as this agent leads.
+    /// The addresses of the ranks' agents, where known. Used only while this agent leads.
     ranks: Vec<Option<SocketAddr>>,
-    /// Where rank 0's agent is, and when it was heard last.
+    /// The address of rank 0's agent, and when it was last seen.
     leader: Option<(SocketAddr, Instant)>,
     subscribers: Vec<(SocketAddr, Instant)>,
     held: Option<(u64, u64, Vec<Vec<u16>>)>,
-    counted: Option<(u64, Vec<u64>)>,
-    given: Option<Given>,
-    told: Option<Standing>,
-    /// The load as it was told to entries last.
-    load: Option<peer::Load>,
+    last_counts: Option<(u64, Vec<u64>)>,
+    last_order: Option<PendingOrder>,
+    last_status: Option<Status>,
+    /// The load that was last sent to entries.
+    last_load: Option<peer::Load>,
     due: Due,
-    rescue: Rescue,
-    /// The endpoint at which this agent has held its group for the leader.
-    leading: Option<(SocketAddr, Endpoint<C>)>,
-    /// The relay that has passed on what rank 0 said last, and when.
+    takeover: Takeover,
+    /// The connection to the leader's endpoint, at which this agent has held its group.
+    leader_endpoint: Option<(SocketAddr, Endpoint<C>)>,
+    /// The relay that forwarded the latest message of rank 0, and when.
     relay: Option<(SocketAddr, Instant)>,
-    telling: Telling,
-    /// What the ranks have counted for which this agent relays.
-    gathering: Gathering,
-    /// The hold that the leader's agent, at this address, has asked for.
-    asked: Option<(Ask, SocketAddr)>,
-    /// Who completes a silent leader's round and asked for words, and when.
+    broadcast: Broadcast,
+    /// The counts of the ranks for which this agent relays.
+    aggregation: Aggregation,
+    /// The hold that the leader's agent, at this address, has requested.
+    hold_request: Option<(HoldRequest, SocketAddr)>,
+    /// The agent that completes the round of an unresponsive leader and requested status
+    /// reports, and when it did.
     finisher: Option<(SocketAddr, Instant)>,
     cadence: Cadence,
     wake: Wake,
-    lost: bool,
-    /// When the endpoint started, as it said last.
+    endpoint_lost: bool,
+    /// The start time of the endpoint, as it last reported it.
     born: Option<Born>,
     codec: PhantomData<(C, S)>,
 }
@@ -137,63 +139,63 @@
             leader: None,
             subscribers: Vec::new(),
             held: None,
-            counted: None,
-            given: None,
-            told: None,
-            load: None,
+            last_counts: None,
+            last_order: None,
+            last_status: None,
+            last_load: None,
             due: Due::default(),
-            rescue: Rescue::default(),
-            leading: None,
+            takeover: Takeover::default(),
+            leader_endpoint: None,
             relay: None,
-            gathering: Gathering::default(),
-            telling: Telling::new(options.link),
-            asked: None,
+            aggregation: Aggregation::default(),
+            broadcast: Broadcast::new(options.link),
+            hold_request: None,
             finisher: None,
             cadence: Cadence::default(),
             wake: Wake::default(),
-            lost: false,
+            endpoint_lost: false,
             born: None,
             options,
             codec: PhantomData,
         }
     }
 
-    /// Works until a stop is asked for.
+    /// Runs until the process is asked to stop.
     ///
     /// # Errors
     ///
-    /// Returns why it can't start.
+    /// Returns the step of the start that failed.
     pub fn run(self) -> Result<(), Failure> {
         let failed = |step| move |error| Failure { step, error };
         let runtime = tokio::runtime::Builder::new_current_thread()
             .enable_all()
             .build();
-        let runtime = runtime.map_err(failed("runtime"))?;
+        let runtime = runtime.map_err(failed("start the runtime"))?;
         LocalSet::new().block_on(&runtime, async {
             let bind = |address| async move { UdpSocket::bind(address).await.map_err(failed("listen for datagrams")) };
             let entries = bind(self.options.entries).await?;
             let agents = bind(self.options.agents).await?;
             let metrics = tcp::listen(self.options.metrics).map_err(failed("listen for metrics"))?;
             tokio::task::spawn_local(serve_metrics(self.exporter.clone(), metrics));
-            let mut stop = signal(SignalKind::terminate()).map_err(failed("signals"))?;
+            let mut stop = signal(SignalKind::terminate()).map_err(failed("install signal handlers"))?;
             tracing::info!(host = self.options.host, endpoint = %self.options.endpoint, "agent started");
-            // An agent has no setting that may change while it runs.
+            // An agent has no settings that may change while it runs.
             let reloads = reload::watch(|signalled| {
                 if signalled {
-                    tracing::info!("reload asked for, an agent has nothing to reload");
+                    tracing::info!("reload requested, but an agent has no settings to reload");
                 }
             });
             tokio::select! {
-                () = self.work(Sockets { entries, agents }) => {}
+                () = self.serve(Sockets { entries, agents }) => {}
                 _ = stop.recv() => {}
-                ended = reloads => ended.map_err(failed("signals"))?,
+                ended = reloads => ended.map_err(failed("install signal handlers"))?,
             }
             tracing::info!("agent stopped");
             Ok(())
         })
     }
 
-    async fn work(mut self, sockets: Sockets) {
+    async fn serve(mut self, sockets: Sockets) {
         let mut from_entries = [0; 512];
         let mut from_agents = vec![0; DATAGRAM_MAX];
         let mut next = clock::now();
@@ -203,7 +205,7 @@
                 received = sockets.agents.recv_from(&mut from_agents) => {
                     let now = clock::now();
                     if let Ok((length, from)) = received
-                        && self.hear(&sockets, &from_agents[..length], from, now)
+                        && self.receive(&sockets, &from_agents[..length], from, now)
                     {
                         next = clock::now();
                     }
@@ -217,14 +219,20 @@
                 }
                 () = tokio::time::sleep(next.left()) => clock::now(),
             };
-            self.look(&sockets, now).await;
+            self.poll_endpoint(&sockets, now).await;
             let busy = self.rank.member.is_busy();
-            next = clock::now() + if busy { LOOK_EVERY_BUSY } else { LOOK_EVERY };
+            next = clock::now()
+                + if busy {
+                    POLL_INTERVAL_BUSY
+                } else {
+                    POLL_INTERVAL
+                };
         }
     }
 
-    /// Takes an entry's subscription, and tells a new subscriber the load at once: an
-    /// entry that has just started takes a group for open until it is told otherwise.
+    /// Records the subscription of an entry, and sends the load to a new subscriber at
+    /// once: an entry that has just started considers a group open until it receives a
+    /// report.
     fn subscribe(&mut self, sockets: &Sockets, bytes: &[u8], from: SocketAddr, now: Instant) {
         if !matches!(datagram::decode(bytes), Ok(peer::Datagram::Subscribe)) {
             return;
@@ -232,16 +240,16 @@
         let new = self.subscribers.iter().all(|&(entry, _)| entry != from);
         self.subscribers
             .retain(|&(entry, until)| entry != from && until > now);
-        self.subscribers.push((from, now + SUBSCRIPTION));
-        if let Some(load) = self.load.as_ref().filter(|_| new) {
+        self.subscribers.push((from, now + SUBSCRIPTION_LIFETIME));
+        if let Some(load) = self.last_load.as_ref().filter(|_| new) {
             let load = datagram::encode(&peer::Datagram::Load(load.clone()));
             send_bytes(&sockets.entries, &load, from);
         }
     }
 
-    /// Forgets what was known of the endpoint if it has started again: it holds no map,
-    /// runs no order and counts anew.
-    fn live(&mut self, state: &State) {
+    /// Drops all state about the endpoint if it has restarted: it then holds no map, runs
+    /// no order and starts its counts at zero.
+    fn reset_if_restarted(&mut self, state: &State) {
         let before = std::mem::replace(&mut self.born, state.born);
         let Some((before, born)) = before.zip(state.born).filter(|(a, b)| a != b) else {
             return;
@@ -253,41 +261,42 @@
         );
         self.rank = Rank::default();
         self.term = rand::random();
-        (self.held, self.counted, self.given) = (None, None, None);
-        (self.told, self.load, self.asked) = (None, None, None);
+        (self.held, self.last_counts, self.last_order) = (None, None, None);
+        (self.last_status, self.last_load, self.hold_request) = (None, None, None);
         self.cadence = Cadence::default();
     }
 
-    /// Reads the endpoint's state and goes on from it.
-    async fn look(&mut self, sockets: &Sockets, now: Instant) {
+    /// Reads the endpoint's state and takes the next steps.
+    async fn poll_endpoint(&mut self, sockets: &Sockets, now: Instant) {
         if self.wake.look() {
-            // A hold never expires, and who asked for one has given it up or asks again.
-            self.asked = None;
+            // A hold never expires, and its requester has abandoned it by now or will
+            // request it again.
+            self.hold_request = None;
         }
-        if let Some((ask, from)) = self.asked.take() {
-            self.hold(sockets, ask, from).await;
+        if let Some((request, from)) = self.hold_request.take() {
+            self.hold(sockets, request, from).await;
         }
         let state = match self.endpoint.state().await {
             Ok(state) => state,
             Err(error) => {
-                if !self.lost {
+                if !self.endpoint_lost {
                     tracing::warn!(%error, "endpoint lost");
-                    self.tell_lost(sockets);
+                    self.report_lost_endpoint(sockets);
                 }
-                self.lost = true;
+                self.endpoint_lost = true;
                 return;
             }
         };
-        if self.lost {
+        if self.endpoint_lost {
             tracing::info!("endpoint regained");
-            self.lost = false;
+            self.endpoint_lost = false;
         }
-        self.live(&state);
-        self.cadence.look(state.maps.step, now);
-        self.tell_load(sockets, &state, now);
+        self.reset_if_restarted(&state);
+        self.cadence.observe(state.maps.step, now);
+        self.update_load(sockets, &state, now);
         if let Some(place) = state.place.clone() {
             self.find_neighbours(sockets, &place, now).await;
-            self.take_part(sockets, &place, state, now).await;
+            self.run_round(sockets, &place, state, now).await;
         }
     }
 }
--- a/crates/rebalance/src/agent/finish.rs
+++ b/crates/rebalance/src/agent/finish.rs
@@ -1,4 +1,4 @@
-//! Completes the round of a leader that has fallen silent.
+//! Completes the round of an unresponsive leader.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,19 +7,20 @@
 use cactusnotch_gateway::{datagram, store};
 
 use super::Agent;
-use super::due::due;
+use super::due::is_due;
 use super::sockets::{Sockets, send_bytes};
 use crate::codec::Codec;
 use crate::endpoint::Endpoint;
 use crate::message::{Datagram, Round};
 use crate::state::{Place, State};
 
-/// How often others are asked and the leader's endpoint is read meanwhile.
-const FINISH_EVERY: Duration = Duration::from_millis(60);
+/// The interval at which other agents are asked for their status and the
+/// leader's endpoint is read meanwhile.
+const FINISH_INTERVAL: Duration = Duration::from_millis(60);
 
 impl<C: Codec, S: store::Codec> Agent<C, S> {
-    /// Completes the round if the group has stood still for too long.
-    pub(super) async fn finish(
+    /// Completes the round if the group has been stalled for too long.
+    pub(super) async fn finish_round(
         &mut self,
         sockets: &Sockets,
         place: &Place,
@@ -30,19 +31,21 @@
             .leader
             .map_or(Duration::MAX, |(_, at)| now.saturating_duration_since(at));
         let round = self.rank.member.round();
-        let silent = self.rescue.look(place, round, &state.maps, silence, now);
-        let own = self.standing(place, state);
-        self.rescue.hear(&own);
+        let silent = self
+            .takeover
+            .observe(place, round, &state.maps, silence, now);
+        let own = self.status(place, state);
+        self.takeover.record(&own);
         let (Some(round), Some((leader, _))) = (round.filter(|_| silent).cloned(), self.leader)
         else {
             return;
         };
-        if due(&mut self.due.finish, FINISH_EVERY, now) {
+        if is_due(&mut self.due.finish, FINISH_INTERVAL, now) {
             self.complete(sockets, &round, leader, place).await;
         }
     }
 
-    /// Has all ranks armed for the pass that is held, and lets the group go.
+    /// Has all ranks armed for the pass that is held, and releases the group.
     async fn complete(
         &mut self,
         sockets: &Sockets,
@@ -50,7 +53,7 @@
         leader: SocketAddr,
         place: &Place,
     ) {
-        // All endpoints of a service take requests on the same port.
+        // All endpoints of a service accept requests on the same port.
         let address = SocketAddr::new(leader.ip(), self.options.endpoint.port());
         let mut endpoint = Endpoint::<C>::new(address);
         let state = match endpoint.state().await {
@@ -60,9 +63,9 @@
                 return;
             }
         };
-        let leads = |at: &Place| at.rank == 0 && at.is_beside(place);
+        let leads = |at: &Place| at.rank == 0 && at.shares_group(place);
         let Some(round) = self
-            .rescue
+            .takeover
             .round(round, &state.maps)
             .filter(|_| state.place.as_ref().is_some_and(leads))
         else {
@@ -75,20 +78,20 @@
             phase = ?round.phase,
             "completing a silent leader's round"
         );
-        self.rank.member.take(round.clone());
-        let ask = datagram::encode(&Datagram::Finish(round));
+        self.rank.member.update_round(round.clone());
+        let request = datagram::encode(&Datagram::Finish(round));
         for &agent in &self.neighbours.agents {
-            send_bytes(&sockets.agents, &ask, agent);
+            send_bytes(&sockets.agents, &request, agent);
         }
-        let Some(order) = self.rescue.order(&state.maps) else {
+        let Some(order) = self.takeover.order(&state.maps) else {
             return;
         };
-        let given = endpoint.order(&order, state.sequence, place.epoch).await;
+        let result = endpoint.order(&order, state.sequence, place.epoch).await;
         tracing::info!(
             group = place.group,
             ?order,
-            confirmed = given.is_ok(),
-            "order given to the leader's endpoint"
+            confirmed = result.is_ok(),
+            "order sent to the leader's endpoint"
         );
     }
 }
--- a/crates/rebalance/src/agent/hear.rs
+++ b/crates/rebalance/src/agent/hear.rs
@@ -1,4 +1,4 @@
-//! What an agent does with the datagrams of other agents.
+//! Handles the datagrams of other agents.
 
 use std::net::SocketAddr;
 
@@ -7,16 +7,16 @@
 
 use super::Agent;
 use super::sockets::{Sockets, send};
-use crate::again;
 use crate::codec::Codec;
-use crate::message::{Choices, Datagram, Phase, Round, Standing};
-use crate::relay::relays;
+use crate::message::{Choices, Datagram, Phase, Round, Status};
+use crate::relay::uses_relays;
+use crate::resend;
 use crate::state::Place;
 
 impl<C: Codec, S: store::Codec> Agent<C, S> {
-    /// Takes a datagram of another agent; returns whether it calls for a look
-    /// at the endpoint now.
-    pub(super) fn hear(
+    /// Handles a datagram of another agent; returns whether the endpoint must be polled
+    /// now.
+    pub(super) fn receive(
         &mut self,
         sockets: &Sockets,
         bytes: &[u8],
@@ -32,84 +32,85 @@
         };
         match message {
             Datagram::Seek(place) => {
-                self.answer(sockets, &place, from);
+                self.send_round(sockets, &place, from);
                 false
             }
-            Datagram::Standing(standing) => self.hear_standing(sockets, standing, from, now),
+            Datagram::Standing(status) => self.receive_status(sockets, status, from, now),
             Datagram::Choices(choices) => {
-                self.hear_choices(&choices, now);
+                self.receive_choices(&choices, now);
                 false
             }
             Datagram::Relay(relay) => {
-                self.pass_on(sockets, &relay, from, now);
-                self.hear_passed_on(&relay.message, from, now)
+                self.relay_message(sockets, &relay, from, now);
+                self.receive_relayed(&relay.message, from, now)
             }
             Datagram::Relayed(relayed) => {
                 self.relay = Some((from, now));
-                self.hear_passed_on(&relayed.message, relayed.leader, now)
+                self.receive_relayed(&relayed.message, relayed.leader, now)
             }
-            Datagram::Round(round) => self.hear_round(round, from, now),
+            Datagram::Round(round) => self.receive_round(round, from, now),
             Datagram::Finish(round) => {
                 self.finisher = Some((from, now));
-                self.rank.member.take(round);
+                self.rank.member.update_round(round);
                 true
             }
-            Datagram::Ask(ask) => {
-                let mine = self.rank.member.is_in(&ask.place);
-                self.asked = mine.then_some((ask, from));
-                mine
+            Datagram::Ask(request) => {
+                let for_this_group = self.rank.member.is_in_group_of(&request.place);
+                self.hold_request = for_this_group.then_some((request, from));
+                for_this_group
             }
-            Datagram::Part(part) => self.rank.member.learn(part),
+            Datagram::Part(part) => self.rank.member.add_part(part),
         }
     }
 
-    /// Takes what rank 0 says, as it was passed on: only what goes to all ranks is.
-    fn hear_passed_on(&mut self, message: &[u8], leader: SocketAddr, now: Instant) -> bool {
+    /// Handles a message of rank 0 that a relay forwarded. Only messages to all ranks are
+    /// relayed.
+    fn receive_relayed(&mut self, message: &[u8], leader: SocketAddr, now: Instant) -> bool {
         match datagram::decode(message) {
-            Ok(Datagram::Round(round)) => self.hear_round(round, leader, now),
-            Ok(Datagram::Part(part)) => self.rank.member.learn(part),
+            Ok(Datagram::Round(round)) => self.receive_round(round, leader, now),
+            Ok(Datagram::Part(part)) => self.rank.member.add_part(part),
             Ok(other) => {
-                tracing::debug!(%leader, ?other, "not for all ranks, not taken");
+                tracing::debug!(%leader, ?other, "relayed datagram dropped, it is not a message to all ranks");
                 false
             }
             Err(error) => {
-                tracing::debug!(%leader, %error, "passed on datagram dropped");
+                tracing::debug!(%leader, %error, "relayed datagram dropped");
                 false
             }
         }
     }
 
-    fn hear_round(&mut self, round: Round, leader: SocketAddr, now: Instant) -> bool {
+    fn receive_round(&mut self, round: Round, leader: SocketAddr, now: Instant) -> bool {
         self.leader = Some((leader, now));
         let urgent = round.phase != Phase::Rest;
-        let before = self.rank.member.heard();
-        self.rank.member.take(round);
-        let repeated = urgent && self.rank.member.heard() == before;
-        if repeated && again::is_due(self.due.tell, now) {
-            self.due.tell = None;
+        let before = self.rank.member.progress();
+        self.rank.member.update_round(round);
+        let repeated = urgent && self.rank.member.progress() == before;
+        if repeated && resend::is_due(self.due.status, now) {
+            self.due.status = None;
         }
         urgent
     }
 
-    fn hear_choices(&mut self, choices: &Choices, now: Instant) {
+    fn receive_choices(&mut self, choices: &Choices, now: Instant) {
         let Choices {
             place,
             units,
             counts,
         } = choices;
         if self.rank.coordinator.is_some() {
-            self.count_in(place, units, counts, now);
+            self.add_counts(place, units, counts, now);
         } else {
-            self.gathering.add(place, units, counts, now);
+            self.aggregation.add(place, units, counts, now);
         }
     }
 
-    /// Answers a rank that looks for its leader.
-    fn answer(&mut self, sockets: &Sockets, place: &Place, from: SocketAddr) {
+    /// Replies with the current round to a rank that looks for its leader.
+    fn send_round(&mut self, sockets: &Sockets, place: &Place, from: SocketAddr) {
         let Some(coordinator) = &self.rank.coordinator else {
             return;
         };
-        if !coordinator.place().is_beside(place) {
+        if !coordinator.place().shares_group(place) {
             return;
         }
         if let Some(rank) = self.ranks.get_mut(usize::from(place.rank)) {
@@ -119,30 +120,32 @@
         send(&sockets.agents, &round, from);
     }
 
-    fn hear_standing(
+    fn receive_status(
         &mut self,
         sockets: &Sockets,
-        standing: Standing,
+        status: Status,
         from: SocketAddr,
         now: Instant,
     ) -> bool {
-        self.rescue.hear(&standing);
-        let place = standing.place.clone();
+        self.takeover.record(&status);
+        let place = status.place.clone();
         let Some(coordinator) = &mut self.rank.coordinator else {
             return false;
         };
-        // In large groups relays tell now and then that rank 0 is there, and ranks that
-        // have not heard of a round are told again a few at a time.
-        let quiet = matches!(
+        // In large groups, relays announce the round periodically, and ranks that have not
+        // acknowledged it get it again a few at a time.
+        let no_resend = matches!(
             coordinator.round().phase,
             Phase::Prepare | Phase::Meet { .. }
         );
-        let unsure = !quiet || coordinator.map().is_none() || coordinator.lacks(&standing);
-        let lacks = !coordinator.is_heard_by(&standing) || (unsure && !relays(place.size));
-        let known = self.ranks.get(usize::from(place.rank)).copied().flatten();
-        coordinator.hear(standing, now);
-        if lacks || known != Some(from) {
-            self.answer(sockets, &place, from);
+        let may_need_round =
+            !no_resend || coordinator.map().is_none() || coordinator.needs_round(&status);
+        let needs_round =
+            !coordinator.is_followed_by(&status) || (may_need_round && !uses_relays(place.size));
+        let last_address = self.ranks.get(usize::from(place.rank)).copied().flatten();
+        coordinator.record(status, now);
+        if needs_round || last_address != Some(from) {
+            self.send_round(sockets, &place, from);
         }
         true
     }
--- a/crates/rebalance/src/agent/orders.rs
+++ b/crates/rebalance/src/agent/orders.rs
@@ -1,4 +1,4 @@
-//! The agent's part in a round: what it orders its own endpoint.
+//! The agent's part in a round: the orders to its own endpoint.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,38 +8,38 @@
 use cactusnotch_telemetry::metric;
 
 use super::sockets::{Sockets, send, send_bytes};
-use super::{Agent, Given};
+use super::{Agent, PendingOrder};
 use crate::Pace;
 use crate::codec::{Codec, Order};
 use crate::coordinator::Event;
 use crate::endpoint::Endpoint;
-use crate::message::{Ask, Datagram};
+use crate::message::{Datagram, HoldRequest};
 use crate::plan;
-use crate::price::Price;
 use crate::state::{Place, State};
+use crate::threshold::Threshold;
 
-/// The time within which a round's experts are to be copied.
-const ROUND_COPY: Duration = Duration::from_millis(160);
-/// The most experts that a rank gets in a round, however fast they are copied:
-/// a round of 216 moves over 32 ranks took 1.5 s, of which the leader's link
-/// had the greatest part, and one of 100 took 0.7 s.
-const PER_RANK_MAX: usize = 3;
-/// How long an order that was begun is waited for before it is given again.
-const ORDER_TIME: Duration = Duration::from_millis(1_500);
-/// The pause before an order that was refused is given again; it is less than
-/// the time that one without an answer has waited.
-const ORDER_PAUSE: Duration = Duration::from_millis(25);
-/// What a copied expert has to take off the peak, in mean loads for each second
-/// that its copy takes, where the group is far from its limits.
-const GAIN_EASY: f64 = 6.0;
-/// The same where the group is at its limits.
-const GAIN_PRESSED: f64 = 0.25;
+/// The time within which the experts of a round should be copied.
+const COPY_BUDGET: Duration = Duration::from_millis(160);
+/// The most experts that one rank gets in a round, however fast they are copied: a round of
+/// 216 moves over 32 ranks took 1.5 s, most of it on the leader's link, and one of 100
+/// moves took 0.7 s.
+const COPIES_PER_RANK_MAX: usize = 3;
+/// The time after which an order that was begun without visible effect is sent again.
+const ORDER_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The pause before an order that was refused is sent again. It is shorter than the timeout
+/// of an order without an answer.
+const ORDER_RETRY: Duration = Duration::from_millis(25);
+/// The reduction of the peak load that a copied expert must bring, in mean loads for each
+/// second that its copy takes, while the group is far from its limits.
+const GAIN_RELAXED: f64 = 6.0;
+/// The same while the group is at its limits.
+const GAIN_SATURATED: f64 = 0.25;
 
-/// The orders that may follow one another within one look.
-const STEPS_MAX: usize = 4;
+/// The most orders that may follow one another within one poll of the endpoint.
+const ORDERS_MAX: usize = 4;
 
 impl<C: Codec, S: store::Codec> Agent<C, S> {
-    pub(super) async fn take_part(
+    pub(super) async fn run_round(
         &mut self,
         sockets: &Sockets,
         place: &Place,
@@ -52,11 +52,11 @@
         self.count(sockets, place, now).await;
         let mut state = state;
         // Each order changes the state, and the next phase may follow at once.
-        for _ in 0..STEPS_MAX {
+        for _ in 0..ORDERS_MAX {
             let Some(order) = self.next_order(sockets, place, &state, now) else {
                 break;
             };
-            if !self.give(&order, &state, place).await {
+            if !self.issue(&order, &state, place).await {
                 break;
             }
             match self.endpoint.state().await {
@@ -65,24 +65,25 @@
             }
             self.rank.observe(place, &state.maps);
         }
-        self.tell_standing(sockets, place, &state, clock::now());
-        self.finish(sockets, place, &state, clock::now()).await;
+        self.send_status(sockets, place, &state, clock::now());
+        self.finish_round(sockets, place, &state, clock::now())
+            .await;
     }
 
-    /// Takes the lead if this is rank 0.
+    /// Starts to lead the group if this is rank 0.
     fn lead(&mut self, place: &Place) {
         let Some(shape) = self.neighbours.shape else {
             return;
         };
-        let per_rank = ROUND_COPY.as_secs_f64() / shape.copy.as_secs_f64().max(0.001);
+        let copies_per_rank = COPY_BUDGET.as_secs_f64() / shape.copy.as_secs_f64().max(0.001);
         let options = plan::Options {
-            per_rank: whole(per_rank).clamp(1, PER_RANK_MAX),
-            price: Price {
-                easy: GAIN_EASY,
-                pressed: GAIN_PRESSED,
+            copies_per_rank: whole(copies_per_rank).clamp(1, COPIES_PER_RANK_MAX),
+            threshold: Threshold {
+                relaxed: GAIN_RELAXED,
+                saturated: GAIN_SATURATED,
                 copy: shape.copy,
             },
-            pause: self.neighbours.pause,
+            max_pause: self.neighbours.max_pause,
         };
         if self.rank.lead(place, shape, options, self.term) {
             self.ranks = vec![None; usize::from(place.size)];
@@ -103,22 +104,22 @@
         state: &State,
         now: Instant,
     ) -> Option<Order> {
-        let standing = self.standing(place, state);
-        let step = self.rank.step(standing, now);
+        let status = self.status(place, state);
+        let step = self.rank.step(status, now);
         if let Some(event) = &step.event {
-            log(place, event, self.cadence.pass(), self.rank.slowest());
+            log(place, event, self.cadence.pass_ms(), self.rank.slowest());
         }
         self.announce(sockets, step.announce, now);
-        self.call(sockets, &step.call);
-        self.tell_map(sockets, now);
-        if let Some((rank, pass)) = step.ask {
-            self.ask(sockets, place, state, rank, pass);
+        self.send_round_to(sockets, &step.notify);
+        self.send_map(sockets, now);
+        if let Some((rank, pass)) = step.hold_request {
+            self.request_hold(sockets, place, state, rank, pass);
         }
         step.order
     }
 
-    /// Tells ranks the round themselves.
-    fn call(&self, sockets: &Sockets, ranks: &[u16]) {
+    /// Sends the round directly to `ranks`.
+    fn send_round_to(&self, sockets: &Sockets, ranks: &[u16]) {
         let Some(coordinator) = self.rank.coordinator.as_ref().filter(|_| !ranks.is_empty()) else {
             return;
         };
@@ -128,58 +129,71 @@
         }
     }
 
-    /// Returns where a rank's agent is, as far as this one leads and has heard it.
+    /// Returns the address of a rank's agent, if this agent leads and has received a
+    /// datagram from it.
     pub(super) fn agent_of(&self, rank: u16) -> Option<SocketAddr> {
         self.ranks.get(usize::from(rank)).copied().flatten()
     }
 
-    /// Asks another rank to hold the group at the own endpoint.
-    fn ask(&self, sockets: &Sockets, place: &Place, state: &State, rank: u16, step: u64) {
+    /// Asks another rank's agent to hold the group at this agent's endpoint.
+    fn request_hold(&self, sockets: &Sockets, place: &Place, state: &State, rank: u16, step: u64) {
         let agent = self.agent_of(rank);
         tracing::info!(group = place.group, rank, step, agent = ?agent, "hold asked for");
         let Some(agent) = agent else {
             return;
         };
-        let ask = Ask {
+        let request = HoldRequest {
             place: place.clone(),
             endpoint: self.options.endpoint,
             sequence: state.sequence,
             step,
         };
-        send(&sockets.agents, &Datagram::Ask(ask), agent);
+        send(&sockets.agents, &Datagram::Ask(request), agent);
     }
 
-    /// Holds the group at rank 0's endpoint, as its agent has asked, and tells it.
-    pub(super) async fn hold(&mut self, sockets: &Sockets, ask: Ask, from: SocketAddr) {
-        let order = Order::Hold { step: ask.step };
-        let leader = self.leading.take().filter(|(at, _)| *at == ask.endpoint);
+    /// Holds the group at rank 0's endpoint, as rank 0's agent requested, and replies with
+    /// the own status.
+    pub(super) async fn hold(&mut self, sockets: &Sockets, request: HoldRequest, from: SocketAddr) {
+        let order = Order::Hold { step: request.step };
+        let leader = self
+            .leader_endpoint
+            .take()
+            .filter(|(at, _)| *at == request.endpoint);
         let (_, endpoint) = self
-            .leading
-            .insert(leader.unwrap_or_else(|| (ask.endpoint, Endpoint::new(ask.endpoint))));
-        let result = endpoint.order(&order, ask.sequence, ask.place.epoch).await;
+            .leader_endpoint
+            .insert(leader.unwrap_or_else(|| (request.endpoint, Endpoint::new(request.endpoint))));
+        let result = endpoint
+            .order(&order, request.sequence, request.place.epoch)
+            .await;
         let error = result.err().map(|error| error.to_string());
         tracing::info!(
-            group = ask.place.group,
-            step = ask.step,
-            sequence = ask.sequence,
+            group = request.place.group,
+            step = request.step,
+            sequence = request.sequence,
             confirmed = error.is_none(),
             error,
             "hold given to the leader's endpoint"
         );
-        if let Some(told) = &self.told {
-            send(&sockets.agents, &Datagram::Standing(told.clone()), from);
+        if let Some(status) = &self.last_status {
+            send(&sockets.agents, &Datagram::Standing(status.clone()), from);
         }
     }
 
-    /// Gives an order unless it is under way; returns whether the endpoint's
-    /// state is worth another look now.
-    async fn give(&mut self, order: &Order, state: &State, place: &Place) -> bool {
+    /// Sends an order unless it is already under way; returns whether the endpoint's state
+    /// should be read again now.
+    async fn issue(&mut self, order: &Order, state: &State, place: &Place) -> bool {
         let now = clock::now();
-        if let Some(given) = &self.given
-            && given.order == *order
+        if let Some(pending) = &self.last_order
+            && pending.order == *order
         {
-            let age = now.saturating_duration_since(given.at);
-            if age < if given.begun { ORDER_TIME } else { ORDER_PAUSE } {
+            let age = now.saturating_duration_since(pending.at);
+            if age
+                < if pending.begun {
+                    ORDER_TIMEOUT
+                } else {
+                    ORDER_RETRY
+                }
+            {
                 return false;
             }
         }
@@ -187,7 +201,7 @@
             .endpoint
             .order(order, state.sequence, place.epoch)
             .await;
-        self.given = Some(Given {
+        self.last_order = Some(PendingOrder {
             order: order.clone(),
             begun: result.is_ok(),
             at: now,
@@ -206,7 +220,7 @@
         }
         match result {
             Ok(()) => true,
-            Err(error) => error.is_silence(),
+            Err(error) => error.is_timeout(),
         }
     }
 }
@@ -231,13 +245,13 @@
             metrics::counter!(metric::GROUP_SWITCHES).increment(1);
             tracing::info!(group, version, "map in force");
         }
-        Event::GivenUp(version) => {
+        Event::Abandoned(version) => {
             tracing::warn!(group, version, "round given up, some rank did not load");
         }
-        Event::LetGo(step) => {
+        Event::Released(step) => {
             tracing::warn!(group, step, "group let go, some rank is out of reach");
         }
-        Event::Found(step) => tracing::warn!(group, step, "group found held, resolving it"),
+        Event::HoldFound(step) => tracing::warn!(group, step, "group found held, resolving it"),
     }
 }
 
--- a/crates/rebalance/src/agent/sockets.rs
+++ b/crates/rebalance/src/agent/sockets.rs
@@ -11,9 +11,9 @@
 /// The sockets of an agent.
 #[derive(Debug)]
 pub(crate) struct Sockets {
-    /// For datagrams of entries.
+    /// Exchanges datagrams with entries.
     pub(crate) entries: UdpSocket,
-    /// For datagrams of other agents.
+    /// Exchanges datagrams with other agents.
     pub(crate) agents: UdpSocket,
 }
 
@@ -21,8 +21,8 @@
     send_bytes(socket, &datagram::encode(message), to);
 }
 
-/// Sends a datagram; one that can't be sent is as good as lost on its way,
-/// and everything is said again.
+/// Sends a datagram. One that cannot be sent counts as lost: all messages are
+/// repeated.
 pub(crate) fn send_bytes(socket: &UdpSocket, bytes: &[u8], to: SocketAddr) {
     if let Err(error) = socket.try_send_to(bytes, to) {
         tracing::debug!(%to, %error, "datagram not sent");
--- a/crates/rebalance/src/agent/spread.rs
+++ b/crates/rebalance/src/agent/spread.rs
@@ -1,4 +1,5 @@
-//! How rank 0's agent tells all ranks something: in a large group by relays.
+//! Sends messages of rank 0's agent to all ranks, in large groups through
+//! relays.
 
 use std::net::SocketAddr;
 
@@ -7,40 +8,41 @@
 use serde_bytes::ByteBuf;
 
 use super::Agent;
-use super::due::due;
+use super::due::is_due;
 use super::sockets::{Sockets, send_bytes};
 use crate::codec::Codec;
 use crate::message::{Datagram, Part, Relay, Relayed};
-use crate::relay::{self, Branch, HEARTBEAT_EVERY, Peer};
+use crate::relay::{self, Branch, HEARTBEAT_INTERVAL, Peer};
 use crate::state::Place;
 
 impl<C: Codec, S: store::Codec> Agent<C, S> {
-    /// Tells all ranks the round, if `news`, or if relays have to be told again.
-    pub(super) fn announce(&mut self, sockets: &Sockets, news: bool, now: Instant) {
+    /// Announces the round to all ranks if it has `changed` or if the relays'
+    /// heartbeat is due.
+    pub(super) fn announce(&mut self, sockets: &Sockets, changed: bool, now: Instant) {
         let Some(coordinator) = &self.rank.coordinator else {
             return;
         };
-        let relayed = relay::relays(coordinator.place().size);
-        let is_due = relayed && due(&mut self.due.beat, HEARTBEAT_EVERY, now);
-        if !news && !is_due {
+        let relayed = relay::uses_relays(coordinator.place().size);
+        let due = relayed && is_due(&mut self.due.heartbeat, HEARTBEAT_INTERVAL, now);
+        if !changed && !due {
             return;
         }
-        self.due.beat = Some(now);
+        self.due.heartbeat = Some(now);
         let round = datagram::encode(&Datagram::Round(coordinator.round().clone()));
         let all: Vec<_> = (0..coordinator.place().size).collect();
-        self.spread(sockets, &round, &all, now);
+        self.broadcast_to(sockets, &round, &all, now);
     }
 
-    /// Tells the ranks that lack it the map in force, if that is due.
-    pub(super) fn tell_map(&mut self, sockets: &Sockets, now: Instant) {
+    /// Sends the map in force to the ranks that lack it, if that is due.
+    pub(super) fn send_map(&mut self, sockets: &Sockets, now: Instant) {
         let Some(coordinator) = &self.rank.coordinator else {
             return;
         };
-        let lacking = coordinator.lacking();
+        let lacking = coordinator.ranks_without_map();
         let Some((version, map)) = coordinator.map().filter(|_| !lacking.is_empty()) else {
             return;
         };
-        while let Some(set) = self.telling.next(map.sets.len(), now) {
+        while let Some(set) = self.broadcast.next(map.sets.len(), now) {
             if set == 0 {
                 let group = coordinator.place().group.as_str();
                 tracing::info!(
@@ -54,13 +56,13 @@
                 break;
             };
             let part = datagram::encode(&Datagram::Part(part));
-            self.telling
-                .sent(self.spread(sockets, &part, &lacking, now));
+            self.broadcast
+                .sent(self.broadcast_to(sockets, &part, &lacking, now));
         }
     }
 
-    /// Sends a datagram to `ranks`; returns how many bytes that took.
-    fn spread(&self, sockets: &Sockets, bytes: &[u8], ranks: &[u16], now: Instant) -> usize {
+    /// Sends a datagram to `ranks`; returns the number of bytes sent.
+    fn broadcast_to(&self, sockets: &Sockets, bytes: &[u8], ranks: &[u16], now: Instant) -> usize {
         let send = |Branch { relay, to }: Branch| {
             if to.is_empty() {
                 send_bytes(&sockets.agents, bytes, relay);
@@ -74,7 +76,7 @@
         self.branches(ranks, now).into_iter().map(send).sum()
     }
 
-    /// Splits `ranks` into branches, as far as their agents are known.
+    /// Splits those of `ranks` whose agents have a known address into branches.
     fn branches(&self, ranks: &[u16], now: Instant) -> Vec<Branch> {
         let Some(coordinator) = &self.rank.coordinator else {
             return Vec::new();
@@ -85,7 +87,7 @@
                 rank,
                 agent,
                 data_centre: self.neighbours.data_centre(agent),
-                alive: coordinator.hears(rank, now),
+                alive: coordinator.is_reachable(rank, now),
             })
         };
         relay::branches(
@@ -94,15 +96,15 @@
         )
     }
 
-    /// Passes on what rank 0 says.
-    pub(super) fn pass_on(
+    /// Forwards a message of rank 0 to the branch.
+    pub(super) fn relay_message(
         &mut self,
         sockets: &Sockets,
         relay: &Relay,
         leader: SocketAddr,
         now: Instant,
     ) {
-        self.gathering.open(now);
+        self.aggregation.activate(now);
         let message = relay.message.clone();
         let bytes = datagram::encode(&Datagram::Relayed(Relayed { leader, message }));
         for &agent in &relay.to {
@@ -111,7 +113,7 @@
     }
 }
 
-/// Returns one set of a map as it is told to agents that lack it.
+/// Returns one set of a map as the message for agents that lack it.
 fn part(place: &Place, version: u64, map: &crate::Map, set: usize) -> Option<Part> {
     let number = |value: usize| u16::try_from(value).unwrap_or(u16::MAX);
     Some(Part {
--- a/crates/rebalance/src/agent/tell.rs
+++ b/crates/rebalance/src/agent/tell.rs
@@ -1,4 +1,4 @@
-//! What an agent reads of its endpoint and tells entries and other agents.
+//! Reads the endpoint and reports its load to entries and its status to other agents.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,34 +7,35 @@
 use cactusnotch_gateway::{datagram, peer, store};
 
 use super::Agent;
-use super::due::due;
+use super::due::is_due;
 use super::sockets::{Sockets, send, send_bytes};
 use crate::codec::Codec;
 use crate::estimate;
-use crate::message::{Choices, Datagram, Standing};
-use crate::relay::{self, RELAY_TIME};
+use crate::message::{Choices, Datagram, Status};
+use crate::relay::{self, RELAY_LIFETIME};
 use crate::state::{Place, State};
 
-/// How often counts are read and sent.
-const COUNT_EVERY: Duration = Duration::from_millis(120);
-/// How often a rank repeats how it stands though nothing has changed.
-const REPEAT_EVERY: Duration = Duration::from_millis(300);
-/// How often loads are sent to entries.
-const LOAD_EVERY: Duration = Duration::from_millis(250);
-/// How long one that completes a silent leader's round is told how ranks stand.
-const FINISHER_TIME: Duration = Duration::from_millis(500);
-/// After this time without a word from rank 0 its agent is looked for again.
-const SILENCE: Duration = Duration::from_millis(1_200);
-/// How often it is looked for.
-const SEEK_EVERY: Duration = Duration::from_millis(400);
+/// The interval at which counts are read and sent.
+const COUNT_INTERVAL: Duration = Duration::from_millis(120);
+/// The interval at which a rank repeats an unchanged status.
+const STATUS_INTERVAL: Duration = Duration::from_millis(300);
+/// The interval at which loads are sent to entries.
+const LOAD_INTERVAL: Duration = Duration::from_millis(250);
+/// How long after its request the agent that completes the round of an unresponsive leader
+/// gets the ranks' status.
+const FINISHER_LIFETIME: Duration = Duration::from_millis(500);
+/// The time without a message of rank 0 after which its agent is searched for again.
+const LEADER_TIMEOUT: Duration = Duration::from_millis(1_200);
+/// The interval at which search messages are sent.
+const SEEK_INTERVAL: Duration = Duration::from_millis(400);
 
 impl<C: Codec, S: store::Codec> Agent<C, S> {
-    /// Tells entries the load, at once if the group has opened or broken or the rank
-    /// has become slower or faster.
-    pub(super) fn tell_load(&mut self, sockets: &Sockets, state: &State, now: Instant) {
-        let same = |told: &peer::Load| (told.open, told.pace) == (state.open, state.pace);
-        let news = !self.load.as_ref().is_some_and(same);
-        if !due(&mut self.due.load, LOAD_EVERY, now) && !news {
+    /// Sends the load to entries periodically, and at once if the group has opened or
+    /// broken or the rank has become slower or faster.
+    pub(super) fn update_load(&mut self, sockets: &Sockets, state: &State, now: Instant) {
+        let same = |sent: &peer::Load| (sent.open, sent.pace) == (state.open, state.pace);
+        let changed = !self.last_load.as_ref().is_some_and(same);
+        if !is_due(&mut self.due.load, LOAD_INTERVAL, now) && !changed {
             return;
         }
         self.due.load = Some(now);
@@ -46,29 +47,29 @@
             requests,
             open: state.open,
             pass: if requests > 0 {
-                self.cadence.pass_with_work(now)
+                self.cadence.pass_ms_under_load(now)
             } else {
-                self.cadence.pass()
+                self.cadence.pass_ms()
             },
             memory: state.memory,
             pace: state.pace,
         };
-        self.load = Some(load);
+        self.last_load = Some(load);
         self.send_load(sockets);
     }
 
-    /// Tells entries that the endpoint does not answer.
-    pub(super) fn tell_lost(&mut self, sockets: &Sockets) {
-        let Some(load) = &mut self.load else {
+    /// Reports to entries that the endpoint does not answer.
+    pub(super) fn report_lost_endpoint(&mut self, sockets: &Sockets) {
+        let Some(load) = &mut self.last_load else {
             return;
         };
         load.open = false;
         self.send_load(sockets);
     }
 
-    /// Sends the load as it is known to all entries that have subscribed.
+    /// Sends the latest load to all subscribed entries.
     fn send_load(&self, sockets: &Sockets) {
-        let Some(load) = &self.load else {
+        let Some(load) = &self.last_load else {
             return;
         };
         let bytes = datagram::encode(&peer::Datagram::Load(load.clone()));
@@ -77,28 +78,28 @@
         }
     }
 
-    /// Looks for rank 0's agent if it has not been heard lately, and for the
-    /// shape of the maps.
+    /// Searches for rank 0's agent if it has not been seen recently, and looks up the shape
+    /// of the maps.
     pub(super) async fn find_neighbours(&mut self, sockets: &Sockets, place: &Place, now: Instant) {
-        let heard = self
+        let leader_seen = self
             .leader
-            .is_some_and(|(_, at)| now.saturating_duration_since(at) < SILENCE);
-        let alone = place.rank != 0 && !heard;
+            .is_some_and(|(_, at)| now.saturating_duration_since(at) < LEADER_TIMEOUT);
+        let leader_lost = place.rank != 0 && !leader_seen;
         let known = self.ranks.iter().flatten();
-        let scattered = relay::relays(place.size)
+        let data_centre_unknown = relay::uses_relays(place.size)
             && known
                 .copied()
                 .any(|agent| self.neighbours.data_centre(agent).is_empty());
         let missing = self.neighbours.shape.is_none()
-            || scattered
-            || (alone && self.neighbours.agents.is_empty());
-        if (missing || alone)
+            || data_centre_unknown
+            || (leader_lost && self.neighbours.agents.is_empty());
+        if (missing || leader_lost)
             && self.neighbours.is_due(now)
-            && let Err(error) = self.neighbours.look(now).await
+            && let Err(error) = self.neighbours.refresh(now).await
         {
-            tracing::warn!(%error, "neighbours not found in the store");
+            tracing::warn!(%error, "agents of the service could not be listed from the store");
         }
-        if alone && due(&mut self.due.seek, SEEK_EVERY, now) {
+        if leader_lost && is_due(&mut self.due.seek, SEEK_INTERVAL, now) {
             let seek = datagram::encode(&Datagram::Seek(place.clone()));
             self.neighbours
                 .agents
@@ -114,31 +115,35 @@
             .held
             .as_ref()
             .is_some_and(|(epoch, version, _)| (*epoch, *version) == current);
-        if !self.rank.tells_held() || known {
+        if !self.rank.reports_held() || known {
             return;
         }
         match self.endpoint.held().await {
             Ok((version, held)) => self.held = Some((place.epoch, version, held)),
-            Err(error) => tracing::warn!(%error, "held experts not read"),
+            Err(error) => {
+                tracing::warn!(%error, "held experts could not be read from the endpoint")
+            }
         }
     }
 
-    /// Reads the counts and passes on what has come since the last time.
+    /// Reads the counts and sends the increase since the last read.
     pub(super) async fn count(&mut self, sockets: &Sockets, place: &Place, now: Instant) {
         let Some(shape) = self.neighbours.shape else {
             return;
         };
-        if !due(&mut self.due.count, COUNT_EVERY, now) {
+        if !is_due(&mut self.due.count, COUNT_INTERVAL, now) {
             return;
         }
         let counts = match self.endpoint.counts().await {
             Ok(counts) => counts,
             Err(error) => {
-                tracing::warn!(%error, "counts not read");
+                tracing::warn!(%error, "expert counts could not be read from the endpoint");
                 return;
             }
         };
-        let before = self.counted.replace((counts.epoch, counts.counts.clone()));
+        let before = self
+            .last_counts
+            .replace((counts.epoch, counts.counts.clone()));
         let Some((epoch, before)) = before.filter(|(epoch, _)| *epoch == counts.epoch) else {
             return;
         };
@@ -151,14 +156,14 @@
             .zip(&before)
             .map(|(new, old)| new.saturating_sub(*old))
             .collect();
-        let new = self.gathering.take(place, new);
+        let new = self.aggregation.take(place, new);
         if new.iter().all(|&count| count == 0) {
             return;
         }
         let (units, bytes) = estimate::pack(&new, shape.experts);
         if self.rank.coordinator.is_some() {
-            self.count_in(place, &units, &bytes, now);
-        } else if let Some(to) = self.collector(place, now) {
+            self.add_counts(place, &units, &bytes, now);
+        } else if let Some(to) = self.counts_receiver(place, now) {
             let choices = Choices {
                 place: place.clone(),
                 units,
@@ -168,91 +173,89 @@
         }
     }
 
-    /// Returns where counts go: to rank 0, in a large group to the relay of the branch.
-    fn collector(&self, place: &Place, now: Instant) -> Option<SocketAddr> {
-        let fresh = |&(_, at): &(_, Instant)| now.saturating_duration_since(at) < RELAY_TIME;
-        if !relay::relays(place.size) || self.gathering.is_open(now) {
+    /// Returns the receiver of counts: rank 0, or in a large group the relay of the branch.
+    fn counts_receiver(&self, place: &Place, now: Instant) -> Option<SocketAddr> {
+        let fresh = |&(_, at): &(_, Instant)| now.saturating_duration_since(at) < RELAY_LIFETIME;
+        if !relay::uses_relays(place.size) || self.aggregation.is_active(now) {
             return self.leader.map(|(leader, _)| leader);
         }
         self.relay.filter(fresh).map(|(relay, _)| relay)
     }
 
-    /// Adds what a rank's requests chose, if this agent leads.
-    pub(super) fn count_in(&mut self, place: &Place, units: &[f32], counts: &[u8], now: Instant) {
+    /// Adds the expert choices of a rank, if this agent leads.
+    pub(super) fn add_counts(&mut self, place: &Place, units: &[f32], counts: &[u8], now: Instant) {
         let Some(coordinator) = &mut self.rank.coordinator else {
             return;
         };
-        if coordinator.count(place, units, counts, now) {
+        if coordinator.add_counts(place, units, counts, now) {
             tracing::info!(group = place.group, rank = place.rank, "demand has turned");
         }
     }
 
-    pub(super) fn standing(&self, place: &Place, state: &State) -> Standing {
-        let known = self.rank.member.known();
+    pub(super) fn status(&self, place: &Place, state: &State) -> Status {
+        let known = self.rank.member.map_version();
         let held = self.held.as_ref().filter(|(epoch, version, _)| {
-            self.rank.tells_held() && (*epoch, *version) == (place.epoch, state.maps.current)
+            self.rank.reports_held() && (*epoch, *version) == (place.epoch, state.maps.current)
         });
-        Standing {
+        Status {
             place: place.clone(),
             open: state.open,
             maps: state.maps,
             pace: state.pace,
-            fill: self.fill(state),
+            fill: self.utilisation(state),
             term: self.rank.member.term(),
-            met: self.rank.member.met(),
-            heard: self.rank.member.heard(),
+            met: self.rank.member.held_step(),
+            heard: self.rank.member.progress(),
             known,
             held: held.map(|(_, _, held)| held.clone()),
         }
     }
 
-    /// Returns how full the endpoint is, in hundredths of its slots.
-    fn fill(&self, state: &State) -> u16 {
+    /// Returns the endpoint's utilisation, in hundredths of its slots.
+    fn utilisation(&self, state: &State) -> u16 {
         let slots = self.neighbours.slots.max(1);
         let fill = (state.running + state.waiting) * 100 / slots;
         u16::try_from(fill).unwrap_or(u16::MAX)
     }
 
-    /// Tells a rank that completes a round how this rank stands.
-    fn tell_finisher(&self, sockets: &Sockets, place: &Place, state: &State, now: Instant) {
-        let asked = |&(_, at): &(_, Instant)| now.saturating_duration_since(at) < FINISHER_TIME;
-        if let Some((finisher, _)) = self.finisher.filter(asked) {
-            let standing = Datagram::Standing(self.standing(place, state));
-            send(&sockets.agents, &standing, finisher);
+    /// Sends the status to the rank that completes a round.
+    fn report_to_finisher(&self, sockets: &Sockets, place: &Place, state: &State, now: Instant) {
+        let recent =
+            |&(_, at): &(_, Instant)| now.saturating_duration_since(at) < FINISHER_LIFETIME;
+        if let Some((finisher, _)) = self.finisher.filter(recent) {
+            let status = Datagram::Standing(self.status(place, state));
+            send(&sockets.agents, &status, finisher);
         }
     }
 
-    /// Tells rank 0 how this rank stands, if that is new or due.
-    pub(super) fn tell_standing(
+    /// Sends the status to rank 0, if it has changed or is due.
+    pub(super) fn send_status(
         &mut self,
         sockets: &Sockets,
         place: &Place,
         state: &State,
         now: Instant,
     ) {
-        self.tell_finisher(sockets, place, state, now);
+        self.report_to_finisher(sockets, place, state, now);
         let Some((leader, _)) = self.leader.filter(|_| self.rank.coordinator.is_none()) else {
             return;
         };
-        let standing = self.standing(place, state);
-        let same = |told: &Standing| {
-            let mut told = told.clone();
-            told.maps.step = standing.maps.step;
-            told.fill = standing.fill;
-            // What was heard shows in the maps soon; a word for it alone would meet those
-            // that the round waits for at rank 0's link.
-            told.heard = standing.heard;
-            told == standing
+        let status = self.status(place, state);
+        let same = |sent: &Status| {
+            let mut sent = sent.clone();
+            sent.maps.step = status.maps.step;
+            sent.fill = status.fill;
+            // The effect of a received round soon shows in the maps. A message for its
+            // receipt alone would compete on rank 0's link with those that the round waits
+            // for.
+            sent.heard = status.heard;
+            sent == status
         };
-        let news = !self.told.as_ref().is_some_and(same);
-        if news || due(&mut self.due.tell, REPEAT_EVERY, now) {
-            self.due.tell = Some(now);
-            send(
-                &sockets.agents,
-                &Datagram::Standing(standing.clone()),
-                leader,
-            );
-            self.told = Some(standing);
+        let changed = !self.last_status.as_ref().is_some_and(same);
+        if changed || is_due(&mut self.due.status, STATUS_INTERVAL, now) {
+            self.due.status = Some(now);
+            send(&sockets.agents, &Datagram::Standing(status.clone()), leader);
+            self.last_status = Some(status);
         }
     }
 }
--- a/crates/rebalance/src/cadence.rs
+++ b/crates/rebalance/src/cadence.rs
@@ -1,38 +1,40 @@
-//! How long the passes of a group take.
+//! Measures the duration of a group's passes.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 
-/// The part of a new measurement in the mean: a few passes back.
-const NEW_PART: f64 = 0.3;
-/// After this time without a pass the group counts as idle.
-const IDLE: Duration = Duration::from_millis(600);
-/// The least time over which passes are counted, so that the moment of a look
-/// within a pass changes little.
-const SPAN: Duration = Duration::from_millis(200);
+/// The weight of a new measurement in the moving mean, which thus covers a few
+/// passes.
+const NEW_WEIGHT: f64 = 0.3;
+/// The time without a pass after which the group counts as idle.
+const IDLE_AFTER: Duration = Duration::from_millis(600);
+/// The least time over which passes are counted, which limits the error from
+/// sampling within a pass.
+const SPAN_MIN: Duration = Duration::from_millis(200);
 
-/// What looks may be apart while the group works.
-const LOOK_SPAN: Duration = Duration::from_millis(100);
+/// The greatest interval between two observations while the group works.
+const OBSERVE_SPAN: Duration = Duration::from_millis(100);
 
-/// A mean of the time that a pass takes, from counts of passes at looks.
+/// A moving mean of the duration of a pass, from samples of the pass number.
 #[derive(Debug, Default)]
 pub struct Cadence {
     since: Option<(u64, Instant)>,
     mean: f64,
-    /// The last pass that was seen begun, and the last look before it.
+    /// The last pass that was seen to begin, and the time of the last
+    /// observation before it.
     begun: Option<(u64, Instant)>,
-    /// When the last look was.
-    looked: Option<Instant>,
+    /// The time of the last observation.
+    observed_at: Option<Instant>,
 }
 
 impl Cadence {
-    /// Takes the number of passes that were begun; returns how long the latest
-    /// ones took whenever enough of them have been seen.
-    pub fn look(&mut self, step: u64, now: Instant) -> Option<Duration> {
-        let looked = self.looked.replace(now).unwrap_or(now);
+    /// Records the number of passes that have begun; returns the mean duration
+    /// of the latest ones whenever enough of them have been seen.
+    pub fn observe(&mut self, step: u64, now: Instant) -> Option<Duration> {
+        let observed_at = self.observed_at.replace(now).unwrap_or(now);
         if self.begun.is_none_or(|(known, _)| known != step) {
-            self.begun = Some((step, looked));
+            self.begun = Some((step, observed_at));
         }
         self.count(step, now)
     }
@@ -46,19 +48,19 @@
         };
         let age = now.saturating_duration_since(at);
         if step == known {
-            if age > IDLE {
+            if age > IDLE_AFTER {
                 self.since = Some((step, now));
                 self.mean = 0.0;
             }
             return None;
         }
-        if age < SPAN {
+        if age < SPAN_MIN {
             return None;
         }
         let passes = u32::try_from(step - known).unwrap_or(u32::MAX);
         let latest = age.as_secs_f64() * 1_000.0 / f64::from(passes);
         self.mean = if self.mean > 0.0 {
-            self.mean + NEW_PART * (latest - self.mean)
+            self.mean + NEW_WEIGHT * (latest - self.mean)
         } else {
             latest
         };
@@ -66,9 +68,9 @@
         Some(age / passes)
     }
 
-    /// Returns how many passes after the present one begin within `time` at
-    /// the least, so that one more has surely not begun by then; `None` while
-    /// there are no passes.
+    /// Returns the least number of passes after the present one that begin
+    /// within `time`: one further pass has certainly not begun by then. Returns
+    /// `None` while there are no passes.
     #[must_use]
     #[expect(
         clippy::cast_possible_truncation,
@@ -85,20 +87,21 @@
         Some((elapsed + time).div_duration_f64(pass).floor() as u64)
     }
 
-    /// Returns how long a pass takes while there is work, in milliseconds. It is
-    /// no less than the time since the present one began: a group that stands
-    /// still must not look idle.
+    /// Returns the duration of a pass while there is work, in milliseconds. It
+    /// is at least the time since the present pass began: a stalled group must
+    /// not appear idle.
     #[must_use]
-    pub fn pass_with_work(&self, now: Instant) -> u16 {
+    pub fn pass_ms_under_load(&self, now: Instant) -> u16 {
         let since = self.begun.map_or(Duration::ZERO, |(_, begun)| {
             now.saturating_duration_since(begun)
         });
-        // A look comes some time after the pass has begun.
-        let standing = since.saturating_sub(LOOK_SPAN).as_millis();
-        self.pass().max(u16::try_from(standing).unwrap_or(u16::MAX))
+        // The observation follows the begin of a pass with a delay.
+        let stalled = since.saturating_sub(OBSERVE_SPAN).as_millis();
+        self.pass_ms()
+            .max(u16::try_from(stalled).unwrap_or(u16::MAX))
     }
 
-    /// Returns how long a pass takes, in milliseconds; zero while there are
+    /// Returns the duration of a pass, in milliseconds; zero while there are
     /// none.
     #[expect(
         clippy::cast_possible_truncation,
@@ -106,7 +109,7 @@
         reason = "a pass takes far less than a minute"
     )]
     #[must_use]
-    pub fn pass(&self) -> u16 {
+    pub fn pass_ms(&self) -> u16 {
         self.mean.clamp(0.0, f64::from(u16::MAX)).round() as u16
     }
 }
--- a/crates/rebalance/src/codec.rs
+++ b/crates/rebalance/src/codec.rs
@@ -1,4 +1,4 @@
-//! How a deployment's endpoints are asked and ordered.
+//! The protocol between an agent and the endpoints of a deployment.
 
 use bytes::Bytes;
 use derive_more::{Display, Error};
@@ -24,7 +24,7 @@
         /// The pass.
         step: u64,
     },
-    /// Do not begin a pass until told to.
+    /// Do not begin a pass until released.
     Hold {
         /// The pass.
         step: u64,
@@ -36,47 +36,47 @@
     },
 }
 
-/// An answer can't be read.
+/// An answer could not be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
-#[display("{what} can't be read: {detail}")]
+#[display("{what} could not be decoded: {detail}")]
 pub struct Unreadable {
-    /// What was asked for.
+    /// What was requested.
     pub what: &'static str,
     /// What is wrong with the answer.
     pub detail: String,
 }
 
-/// How a deployment's endpoints are asked and ordered.
+/// Encodes requests to a deployment's endpoints and decodes their answers.
 pub trait Codec: 'static {
-    /// Writes the question for the endpoint's state.
+    /// Returns the request for the endpoint's state.
     fn state_request() -> Request<Bytes>;
 
-    /// Writes the question for its counts.
+    /// Returns the request for the endpoint's counts.
     fn counts_request() -> Request<Bytes>;
 
-    /// Writes the question for the experts that it holds.
+    /// Returns the request for the experts that the endpoint holds.
     fn held_request() -> Request<Bytes>;
 
-    /// Writes an order, which is to be refused if the endpoint has begun
-    /// another number of orders than `sequence`, or lives in another epoch.
+    /// Returns the request for an order. The endpoint refuses it if it has
+    /// begun another number of orders than `sequence`, or is in another epoch.
     fn order_request(order: &Order, sequence: u64, epoch: u64) -> Request<Bytes>;
 
-    /// Reads the endpoint's state.
+    /// Decodes the endpoint's state.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with the answer.
     fn decode_state(body: &[u8]) -> Result<State, Unreadable>;
 
-    /// Reads its counts.
+    /// Decodes the endpoint's counts.
     ///
     /// # Errors
     ///
     /// Returns what is wrong with the answer.
     fn decode_counts(body: &[u8]) -> Result<Counts, Unreadable>;
 
-    /// Reads the experts that it holds in the map in force, by set, with the
-    /// map's version.
+    /// Decodes the experts that the endpoint holds in the map in force, by set,
+    /// with the map's version.
     ///
     /// # Errors
     ///
--- a/crates/rebalance/src/coordinator.rs
+++ b/crates/rebalance/src/coordinator.rs
@@ -1,11 +1,11 @@
-//! How the agent of rank 0 leads a round.
+//! Leads the rounds, in the agent of rank 0.
 
+mod announce;
 mod arming;
 mod demand;
 mod event;
 mod hold;
 mod stage;
-mod telling;
 
 use std::time::Duration;
 
@@ -15,30 +15,30 @@
 use self::stage::Stage;
 use crate::codec::Order;
 use crate::map::Map;
-use crate::message::{Heard, Phase, Round, Standing};
+use crate::message::{Phase, Progress, Round, Status};
 use crate::plan::{self, Plan};
 use crate::state::{Maps, Place};
 use crate::{Pace, Shape};
 use cactusnotch_base::clock::Instant;
 
-/// How long a rank's word counts. Ranks repeat it several times a second.
-const STANDING_TIME: Duration = Duration::from_millis(1_500);
-/// After this time ranks that can't load a map are given another one: far
-/// above the time to copy what a round moves.
-const PREPARE_TIME: Duration = Duration::from_secs(3);
-/// The span of numbers that a life's versions begin in, above all versions
-/// that ranks show. A former life's last version may still be on its way to
-/// some ranks and must not be given to another map: two lives meet in about
-/// one of a billion cases.
+/// How long the status report of a rank is valid. Ranks repeat it several times a second.
+const STATUS_LIFETIME: Duration = Duration::from_millis(1_500);
+/// The time after which a round is abandoned whose map some ranks cannot load: far above
+/// the time to copy what a round moves.
+const PREPARE_TIMEOUT: Duration = Duration::from_secs(3);
+/// The range of numbers from which the first version of an incarnation is drawn, above all
+/// versions that ranks report. The last version of a former incarnation may not have
+/// reached all ranks yet and must not be given to another map: two incarnations collide in
+/// about one of a billion cases.
 const VERSION_SPAN: u64 = 1 << 32;
-/// What a coordinator knows of one rank.
+/// The latest status report of a rank.
 #[derive(Debug, Clone)]
 struct Row {
-    standing: Standing,
+    status: Status,
     at: Instant,
 }
 
-/// The part of rank 0's agent that leads rounds.
+/// Leads the rounds of a group.
 #[derive(Debug)]
 pub struct Coordinator {
     place: Place,
@@ -48,27 +48,27 @@
     next: Option<Map>,
     round: Round,
     stage: Stage,
-    /// The ranks that were asked to hold the group in this round, in order: one, unless it
-    /// took too long.
+    /// The ranks that were asked to hold the group in this round, in order: a single one
+    /// unless it took too long.
     holders: Vec<u16>,
-    /// Counts up to the rank that is asked first: the same one as long as it answers, since
-    /// it has a connection to the own endpoint then.
-    holder: u16,
-    /// When the group was last let go since a rank was out of reach.
-    let_go_at: Option<Instant>,
-    /// The last pass that the group was let go into. A late order to let it
-    /// go must never meet another hold of the same pass.
-    let_go: Option<u64>,
+    /// Selects the rank that is asked first. It stays the same while that rank answers,
+    /// since the rank then has a connection to the own endpoint.
+    holder_offset: u16,
+    /// When the group was last released because a rank was out of reach.
+    released_at: Option<Instant>,
+    /// The last pass that the group was released into. A late order to release it must
+    /// never affect another hold of the same pass.
+    released_step: Option<u64>,
     arming: Arming,
-    /// The round as ranks were told it last, and when.
-    told: Option<(Heard, Instant)>,
-    /// How far the next version is above all that were seen.
-    gap: u64,
+    /// The progress of the round as it was last announced, and when.
+    announced: Option<(Progress, Instant)>,
+    /// How far the next version is above all versions seen so far.
+    version_gap: u64,
 }
 
 impl Coordinator {
-    /// Creates the coordinator of a group of which nothing is known yet.
-    /// `term` is a number that no other life of this process has.
+    /// Creates the coordinator of a group without any reports yet. `term` is a number that
+    /// is unique to this incarnation of the process.
     #[must_use]
     pub fn new(place: Place, shape: Shape, options: plan::Options, term: u64) -> Self {
         let round = Round {
@@ -88,24 +88,24 @@
             map: None,
             next: None,
             round,
-            stage: Stage::Rest,
+            stage: Stage::Idle,
             holders: Vec::new(),
-            holder: 0,
-            let_go_at: None,
-            let_go: None,
+            holder_offset: 0,
+            released_at: None,
+            released_step: None,
             arming: Arming::default(),
-            told: None,
-            gap: 1 + term % VERSION_SPAN,
+            announced: None,
+            version_gap: 1 + term % VERSION_SPAN,
         }
     }
 
-    /// Returns the rank that it leads from.
+    /// Returns the rank that leads.
     #[must_use]
     pub const fn place(&self) -> &Place {
         &self.place
     }
 
-    /// Returns the round as the ranks should know it.
+    /// Returns the round that the ranks should follow.
     #[must_use]
     pub const fn round(&self) -> &Round {
         &self.round
@@ -117,53 +117,59 @@
         self.map.as_ref().map(|(version, map)| (*version, map))
     }
 
-    /// Takes a rank's word, if it was given after this life began: an older
-    /// one could hide that the rank has been armed since.
-    pub fn hear(&mut self, standing: Standing, now: Instant) {
-        let place = &standing.place;
-        if !self.place.is_beside(place) || standing.term != Some(self.round.term) {
+    /// Records the status of a rank, if the rank sent it under the term of this
+    /// coordinator: an older report could hide that the rank has been armed since.
+    pub fn record(&mut self, status: Status, now: Instant) {
+        let place = &status.place;
+        if !self.place.shares_group(place) || status.term != Some(self.round.term) {
             return;
         }
         if let Some(row) = self.rows.get_mut(usize::from(place.rank)) {
-            *row = Some(Row { standing, at: now });
+            *row = Some(Row { status, at: now });
         }
     }
 
-    /// Adds what a rank's requests chose; returns whether demand has turned.
-    pub fn count(&mut self, place: &Place, units: &[f32], counts: &[u8], now: Instant) -> bool {
-        self.place.is_beside(place) && self.demand.count(units, counts, now)
+    /// Adds the expert choices of a rank; returns whether they show a demand shift.
+    pub fn add_counts(
+        &mut self,
+        place: &Place,
+        units: &[f32],
+        counts: &[u8],
+        now: Instant,
+    ) -> bool {
+        self.place.shares_group(place) && self.demand.add_counts(units, counts, now)
     }
 
-    /// Goes on as far as the ranks' words allow; returns the order for the
-    /// own endpoint, and what happened. `own` is the fresh state of the own
-    /// endpoint.
+    /// Advances as the status of the ranks allows; returns the order for the own endpoint,
+    /// and what happened. `own` is the fresh state of the own endpoint.
     pub fn step(&mut self, own: &Maps, now: Instant) -> (Option<Order>, Option<Event>) {
-        let mut event = self.meet(own, now);
-        let pass = self.arming.look(own.step, now);
+        let mut event = self.confirm_hold(own, now);
+        let pass = self.arming.observe(own.step, now);
         if let (Some(pass), Some((version, map))) = (pass, &self.map)
             && *version == own.current
         {
-            self.demand.measure(pass, map, &self.paces(), self.fill());
+            self.demand
+                .measure(pass, map, &self.paces(), self.utilisation());
         }
-        if let Some(maps) = self.words(now) {
+        if let Some(maps) = self.fresh_maps(now) {
             self.assemble(&maps);
             self.round.asks_held = self.map.is_none();
             event = event.or_else(|| self.advance(&maps, own, now));
         }
         let order = self.order(own, now);
         if let Some(Order::Go { step }) = order {
-            self.let_go = self.let_go.max(Some(step));
+            self.released_step = self.released_step.max(Some(step));
         }
         (order, event)
     }
 
-    /// Returns all ranks' maps if all have been heard lately.
-    fn words(&self, now: Instant) -> Option<Vec<Maps>> {
-        let fresh = |row: &Row| now.saturating_duration_since(row.at) < STANDING_TIME;
+    /// Returns the maps of all ranks if the status of each is recent.
+    fn fresh_maps(&self, now: Instant) -> Option<Vec<Maps>> {
+        let fresh = |row: &Row| now.saturating_duration_since(row.at) < STATUS_LIFETIME;
         let word = |row: &Option<Row>| {
             row.as_ref()
                 .filter(|row| fresh(row))
-                .map(|row| row.standing.maps)
+                .map(|row| row.status.maps)
         };
         self.rows.iter().map(word).collect()
     }
@@ -171,24 +177,24 @@
     /// Returns the pace of the slowest rank.
     #[must_use]
     pub fn slowest(&self) -> Pace {
-        let paces = self.rows.iter().flatten().map(|row| row.standing.pace);
+        let paces = self.rows.iter().flatten().map(|row| row.status.pace);
         paces.max().unwrap_or_default()
     }
 
     /// Returns how many times longer than usual each rank takes.
     fn paces(&self) -> Vec<f64> {
-        let pace = |row: &Option<Row>| row.as_ref().map_or(1.0, |row| row.standing.pace.factor());
+        let pace = |row: &Option<Row>| row.as_ref().map_or(1.0, |row| row.status.pace.factor());
         self.rows.iter().map(pace).collect()
     }
 
-    /// Returns how many requests run or wait for each slot of the group.
-    fn fill(&self) -> f64 {
-        let fills = || self.rows.iter().flatten().map(|row| row.standing.fill);
+    /// Returns the number of running and waiting requests for each slot of the group.
+    fn utilisation(&self) -> f64 {
+        let fills = || self.rows.iter().flatten().map(|row| row.status.fill);
         let count = u32::try_from(fills().count()).unwrap_or(u32::MAX).max(1);
         fills().map(f64::from).sum::<f64>() / (100.0 * f64::from(count))
     }
 
-    /// Puts the map in force together from what each rank holds.
+    /// Assembles the map in force from the experts that each rank holds.
     fn assemble(&mut self, maps: &[Maps]) {
         let version = maps[0].current;
         if self
@@ -201,14 +207,14 @@
         if maps.iter().any(|maps| maps.current != version) {
             return;
         }
-        // Others may have completed a round of a former life.
-        if self.stage == Stage::Rest {
+        // Other agents may have completed a round of a former coordinator.
+        if self.stage == Stage::Idle {
             self.map = None;
         }
         let held: Option<Vec<_>> = self
             .rows
             .iter()
-            .map(|row| row.as_ref()?.standing.held.clone())
+            .map(|row| row.as_ref()?.status.held.clone())
             .collect();
         let Some(held) = held else {
             return;
@@ -229,24 +235,24 @@
 
     fn advance(&mut self, maps: &[Maps], own: &Maps, now: Instant) -> Option<Event> {
         let version = self.round.version;
-        // Another rank may have completed the round while this one was silent.
+        // Another rank may have completed the round while this one was unresponsive.
         let done = maps.iter().all(|maps| maps.current == version);
-        let open = !matches!(self.stage, Stage::Rest | Stage::Prepare { .. });
+        let open = !matches!(self.stage, Stage::Idle | Stage::Prepare { .. });
         if done && open {
-            return Some(self.end());
+            return Some(self.complete());
         }
         match self.stage {
-            Stage::Rest => self.rest(maps, own, now),
+            Stage::Idle => self.start_or_resolve(maps, own, now),
             Stage::Prepare { since } => {
                 if maps.iter().all(|maps| maps.prepared == Some(version)) {
-                    self.stage = Stage::Hold { asked: None };
+                    self.stage = Stage::Hold { requested: None };
                     self.round.phase = Phase::Commit;
-                } else if now.saturating_duration_since(since) > PREPARE_TIME {
-                    self.stage = Stage::Rest;
+                } else if now.saturating_duration_since(since) > PREPARE_TIMEOUT {
+                    self.stage = Stage::Idle;
                     self.round.phase = Phase::Rest;
-                    // Some rank may have had a higher version of a former life.
-                    self.gap = VERSION_SPAN;
-                    return Some(Event::GivenUp(version));
+                    // Some rank may have seen a higher version of a former coordinator.
+                    self.version_gap = VERSION_SPAN;
+                    return Some(Event::Abandoned(version));
                 } else {
                     return self.replace(maps, now);
                 }
@@ -254,53 +260,53 @@
             }
             Stage::Hold { .. } => {
                 let step = own.held?;
-                // All ranks have the map; its moves need not travel again.
+                // All ranks have the map; its moves need not be sent again.
                 self.round.moves.clear();
                 self.arming.begin(now);
-                self.stage = Stage::Meet {
+                self.stage = Stage::Confirm {
                     step,
                     since: now,
-                    told: None,
+                    announced: None,
                 };
                 self.round.phase = Phase::Meet { step };
                 Some(Event::Held(step))
             }
-            Stage::Arm => {
+            Stage::ArmOthers => {
                 if maps.iter().all(|maps| maps.armed == Some(version)) {
                     self.arming.end(now);
-                    self.stage = Stage::Go { armed: true };
+                    self.stage = Stage::Release { armed: true };
                 }
                 None
             }
-            Stage::Go { armed } => {
+            Stage::Release { armed } => {
                 if own.held.is_none() {
-                    self.stage = if armed { Stage::Switch } else { Stage::Rest };
+                    self.stage = if armed { Stage::Switch } else { Stage::Idle };
                 }
                 None
             }
-            Stage::Meet { .. } | Stage::Undo | Stage::Lead | Stage::Switch => None,
+            Stage::Confirm { .. } | Stage::Revert | Stage::ArmLeader | Stage::Switch => None,
         }
     }
 
     /// Ends a round after which all ranks use the new map.
-    fn end(&mut self) -> Event {
+    fn complete(&mut self) -> Event {
         let version = self.round.version;
         self.map = self.next.take().map(|map| (version, map));
-        self.stage = Stage::Rest;
+        self.stage = Stage::Idle;
         self.round.phase = Phase::Rest;
-        self.arming.give_up();
+        self.arming.abandon();
         Event::Switched(version)
     }
 
-    /// Resolves what a former coordinator left, or begins a round.
-    fn rest(&mut self, maps: &[Maps], own: &Maps, now: Instant) -> Option<Event> {
+    /// Resolves a hold that a former coordinator left, or begins a round.
+    fn start_or_resolve(&mut self, maps: &[Maps], own: &Maps, now: Instant) -> Option<Event> {
         if let Some(step) = own.held {
             return Some(self.resolve(maps, step));
         }
         let settled = maps
             .iter()
             .all(|rank| rank.armed.is_none() && rank.current == maps[0].current);
-        if !settled || !self.all_back() {
+        if !settled || !self.all_reachable_again() {
             return None;
         }
         let paces = self.paces();
@@ -311,9 +317,9 @@
         self.begin(maps, plan, now)
     }
 
-    /// Replaces a round that still loads if demand has turned so that another
-    /// map would be far better. No rank is armed before all have loaded, and an
-    /// order to load the former map that comes late is refused for its version.
+    /// Replaces a round that is still loading if demand has shifted and another map would
+    /// be far better. No rank is armed before all have loaded, and a late order to load the
+    /// former map is refused because of its version.
     fn replace(&mut self, maps: &[Maps], now: Instant) -> Option<Event> {
         let paces = self.paces();
         let ((_, map), next) = (self.map.as_ref()?, self.next.as_ref()?);
@@ -321,7 +327,7 @@
         self.begin(maps, plan, now)
     }
 
-    /// Begins the round that carries a plan out.
+    /// Begins the round that carries out a plan.
     fn begin(&mut self, maps: &[Maps], plan: Plan, now: Instant) -> Option<Event> {
         let (base, map) = self.map.as_ref()?;
         let base = *base;
@@ -333,7 +339,7 @@
             .iter()
             .map(|rank| rank.current.max(rank.prepared.unwrap_or(0)));
         let seen = seen.fold(self.round.version, u64::max);
-        self.round.version = seen + std::mem::replace(&mut self.gap, 1);
+        self.round.version = seen + std::mem::replace(&mut self.version_gap, 1);
         self.round.base = base;
         self.round.moves.clone_from(&plan.moves);
         self.round.phase = Phase::Prepare;
@@ -342,9 +348,9 @@
         Some(Event::Began(plan))
     }
 
-    /// Ends a round that a former coordinator left held. Ranks are armed only
-    /// after all have loaded the same map; if all have, arming is completed,
-    /// and otherwise none is armed and the group is let go.
+    /// Resolves a hold that a former coordinator left. Ranks are armed only after all have
+    /// loaded the same map. If all have, arming is completed; otherwise none is armed and
+    /// the group is released.
     fn resolve(&mut self, maps: &[Maps], step: u64) -> Event {
         let loaded = |rank: &Maps| {
             rank.armed
@@ -359,28 +365,28 @@
                 self.round.moves.clear();
                 self.round.phase = Phase::Meet { step };
                 self.next = None;
-                self.stage = Stage::Lead;
+                self.stage = Stage::ArmLeader;
             }
-            _ => self.stage = Stage::Go { armed: false },
+            _ => self.stage = Stage::Release { armed: false },
         }
-        Event::Found(step)
+        Event::HoldFound(step)
     }
 
     /// Returns the order that the own endpoint needs for the hold.
     ///
-    /// A hold that shows up while ranks load, or after they were let go, is
-    /// one that was carried out late. No rank is armed then or all are, so
-    /// that the group may go on.
+    /// A hold that appears while ranks load, or after they were released, results from an
+    /// order that was carried out late. Either no rank is armed then or all are, and the
+    /// group may go on.
     fn order(&self, own: &Maps, now: Instant) -> Option<Order> {
         match (self.stage, own.held) {
-            // Nobody else could.
+            // A group of one rank has no other that could hold it.
             (Stage::Hold { .. }, None) if self.place.size == 1 && self.lacks_hold(own) => {
                 Some(Order::Hold {
-                    step: self.hold_at(own, now),
+                    step: self.hold_step(own, now),
                 })
             }
-            (Stage::Undo | Stage::Lead, Some(step)) => self.settle(own, step),
-            (Stage::Go { .. } | Stage::Prepare { .. } | Stage::Switch, Some(step)) => {
+            (Stage::Revert | Stage::ArmLeader, Some(step)) => self.arm_or_revert(own, step),
+            (Stage::Release { .. } | Stage::Prepare { .. } | Stage::Switch, Some(step)) => {
                 Some(Order::Go { step })
             }
             _ => None,
--- a/crates/rebalance/src/coordinator/event.rs
+++ b/crates/rebalance/src/coordinator/event.rs
@@ -1,8 +1,8 @@
-//! What a coordinator has to say after a step.
+//! The events of a coordinator.
 
 use crate::plan::Plan;
 
-/// What the coordinator has to say after a step.
+/// The outcome of a coordinator's step.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A round has begun.
@@ -11,11 +11,11 @@
     Held(u64),
     /// All ranks use the new map.
     Switched(u64),
-    /// A round was given up before any rank was armed.
-    GivenUp(u64),
-    /// A group was let go with no rank armed, since some rank did not say that it is
-    /// there.
-    LetGo(u64),
+    /// A round was abandoned before any rank was armed.
+    Abandoned(u64),
+    /// A group was released with no rank armed, since some rank did not confirm that it is
+    /// responsive.
+    Released(u64),
     /// A hold of a former coordinator was found, and is being resolved.
-    Found(u64),
+    HoldFound(u64),
 }
--- a/crates/rebalance/src/coordinator/hold.rs
+++ b/crates/rebalance/src/coordinator/hold.rs
@@ -1,4 +1,4 @@
-//! How the group is held, and let go again if a rank is out of reach.
+//! Holds the group, and releases it if a rank is out of reach.
 
 use std::time::Duration;
 
@@ -9,100 +9,112 @@
 use crate::message::Phase;
 use crate::state::Maps;
 
-/// How long a rank that was asked to hold the group is waited for before another one is.
-/// A message and an order to another host of the region take one to five milliseconds.
-const ASK_TIME: Duration = Duration::from_millis(60);
-/// How often the rank that has held the group is told so until it says that it is there.
-const TELL_EVERY: Duration = Duration::from_millis(30);
+/// The time after which another rank is asked to hold the group. A message and an order to
+/// another host of the region take one to five milliseconds.
+const HOLD_REQUEST_TIMEOUT: Duration = Duration::from_millis(60);
+/// The interval at which the rank that has held the group is notified of the hold until it
+/// confirms that it is responsive.
+const CONFIRM_INTERVAL: Duration = Duration::from_millis(30);
 
 impl Coordinator {
-    /// Returns which rank is to hold the group at this rank's endpoint, and before which
+    /// Returns the rank that is to hold the group at this rank's endpoint, and before which
     /// pass, if that is due. All ranks have loaded the map then.
-    pub fn ask(&mut self, own: &Maps, now: Instant) -> Option<(u16, u64)> {
-        let Stage::Hold { asked } = self.stage else {
+    pub fn hold_request(&mut self, own: &Maps, now: Instant) -> Option<(u16, u64)> {
+        let Stage::Hold { requested } = self.stage else {
             return None;
         };
         let others = u64::from(self.place.size).checked_sub(1);
         let others = others.filter(|&others| others > 0)?;
-        let lately = |at| now.saturating_duration_since(at) < ASK_TIME;
-        if !self.lacks_hold(own) || asked.is_some_and(lately) {
+        let recent = |at| now.saturating_duration_since(at) < HOLD_REQUEST_TIMEOUT;
+        if !self.lacks_hold(own) || requested.is_some_and(recent) {
             return None;
         }
-        self.stage = Stage::Hold { asked: Some(now) };
-        if asked.is_none() {
+        self.stage = Stage::Hold {
+            requested: Some(now),
+        };
+        if requested.is_none() {
             self.holders.clear();
         } else {
-            // Another one, since the one that was asked may be out of reach.
-            self.holder = self.holder.wrapping_add(1);
+            // Another rank, since the one that was asked may be out of reach.
+            self.holder_offset = self.holder_offset.wrapping_add(1);
         }
-        let rank = 1 + u16::try_from(u64::from(self.holder) % others).unwrap_or(0);
+        let rank = 1 + u16::try_from(u64::from(self.holder_offset) % others).unwrap_or(0);
         self.holders.push(rank);
-        Some((rank, self.hold_at(own, now)))
+        Some((rank, self.hold_step(own, now)))
     }
 
-    /// Tells whether the group is still to be held for the round. Once this rank is
-    /// armed another has completed it.
+    /// Returns whether the group has yet to be held for the round. Once this rank is armed,
+    /// another rank has completed the round.
     pub(super) const fn lacks_hold(&self, own: &Maps) -> bool {
         own.held.is_none() && own.armed.is_none() && own.current < self.round.version
     }
 
     /// Returns the pass before which the group is held.
-    pub(super) fn hold_at(&self, own: &Maps, now: Instant) -> u64 {
-        let after = self.let_go.map_or(0, |step| step + 1);
+    pub(super) fn hold_step(&self, own: &Maps, now: Instant) -> u64 {
+        let after = self.released_step.map_or(0, |step| step + 1);
         (own.step + self.arming.passes_ahead(now)).max(after)
     }
 
-    /// Returns the ranks that have to be told that the group is held, if that is due: one
-    /// of their agents has given the order, and they have to say that they are still there.
-    pub fn calls(&mut self, now: Instant) -> &[u16] {
-        let Stage::Meet { step, since, told } = self.stage else {
+    /// Returns the ranks to notify of the hold, if that is due: the agent of one of them
+    /// has given the order, and they must confirm that they are still responsive.
+    pub fn confirmation_targets(&mut self, now: Instant) -> &[u16] {
+        let Stage::Confirm {
+            step,
+            since,
+            announced,
+        } = self.stage
+        else {
             return &[];
         };
-        let lately = |at| now.saturating_duration_since(at) < TELL_EVERY;
-        if told.is_some_and(lately) {
+        let recent = |at| now.saturating_duration_since(at) < CONFIRM_INTERVAL;
+        if announced.is_some_and(recent) {
             return &[];
         }
-        self.stage = Stage::Meet {
+        self.stage = Stage::Confirm {
             step,
             since,
-            told: Some(now),
+            announced: Some(now),
         };
         &self.holders
     }
 
-    /// Goes on once the group is held: to arming if the rank that has held it is there, or
-    /// by giving the round up if it isn't.
+    /// Advances a round whose group is held: to arming if the rank that has held it
+    /// confirms, or to the end of the round if it does not.
     ///
-    /// What rank 0's endpoint has decides for all, whoever acts: no other rank is armed
-    /// before rank 0 is, and the round is given up only by having rank 0's endpoint load
-    /// another map, after which it can't be armed with this one.
-    pub(super) fn meet(&mut self, own: &Maps, now: Instant) -> Option<Event> {
+    /// The state of rank 0's endpoint decides for all, whichever agent acts: no other rank
+    /// is armed before rank 0 is, and the round is reverted only by having rank 0's
+    /// endpoint load another map, after which it cannot be armed with this one.
+    pub(super) fn confirm_hold(&mut self, own: &Maps, now: Instant) -> Option<Event> {
         let version = self.round.version;
         match self.stage {
-            Stage::Meet { .. } | Stage::Undo | Stage::Lead if own.armed == Some(version) => {
-                self.stage = own.held.map_or(Stage::Switch, |_| Stage::Arm);
+            Stage::Confirm { .. } | Stage::Revert | Stage::ArmLeader
+                if own.armed == Some(version) =>
+            {
+                self.stage = own.held.map_or(Stage::Switch, |_| Stage::ArmOthers);
                 if let Some(step) = own.held {
                     self.round.phase = Phase::Arm { step };
                 }
                 None
             }
-            Stage::Meet { step, .. } if self.is_there(step) => {
-                self.stage = Stage::Lead;
+            Stage::Confirm { step, .. } if self.is_confirmed(step) => {
+                self.stage = Stage::ArmLeader;
                 None
             }
-            Stage::Meet { step, since, .. } => {
-                let late = now.saturating_duration_since(since) > self.arming.meeting();
+            Stage::Confirm { step, since, .. } => {
+                let late = now.saturating_duration_since(since) > self.arming.confirm_timeout();
                 late.then(|| {
-                    self.arming.give_up();
-                    self.holder = self.holder.wrapping_add(1);
-                    self.let_go_at = Some(now);
-                    self.stage = Stage::Undo;
-                    Event::LetGo(step)
+                    self.arming.abandon();
+                    self.holder_offset = self.holder_offset.wrapping_add(1);
+                    self.released_at = Some(now);
+                    self.stage = Stage::Revert;
+                    Event::Released(step)
                 })
             }
-            Stage::Undo | Stage::Lead if own.prepared != Some(version) || own.held.is_none() => {
-                self.stage = Stage::Go { armed: false };
-                self.round.version = undone(version);
+            Stage::Revert | Stage::ArmLeader
+                if own.prepared != Some(version) || own.held.is_none() =>
+            {
+                self.stage = Stage::Release { armed: false };
+                self.round.version = reverted(version);
                 self.round.phase = Phase::Rest;
                 None
             }
@@ -110,43 +122,43 @@
         }
     }
 
-    /// Tells whether all ranks have been heard since the group was let go because one was
-    /// out of reach. Until then a round would be loaded for nothing.
-    pub(super) fn all_back(&self) -> bool {
-        let heard = |row: &Row| self.let_go_at.is_none_or(|at| row.at > at);
+    /// Returns whether all ranks have reported since the group was released because one was
+    /// out of reach. Until then a round would be loaded in vain.
+    pub(super) fn all_reachable_again(&self) -> bool {
+        let heard = |row: &Row| self.released_at.is_none_or(|at| row.at > at);
         self.rows.iter().flatten().all(heard)
     }
 
-    /// Tells whether the ranks that were asked to hold the group before the pass have said,
-    /// once the hold was seen, that they are there. A host that stands still right after
-    /// its order could not be armed.
-    fn is_there(&self, step: u64) -> bool {
-        let there = |row: &Row| row.standing.met == Some(step);
+    /// Returns whether the ranks that were asked to hold the group before the pass have
+    /// confirmed, after the hold was seen, that they are responsive. A host that freezes
+    /// right after its order could not be armed.
+    fn is_confirmed(&self, step: u64) -> bool {
+        let confirmed = |row: &Row| row.status.met == Some(step);
         let row = |&rank: &u16| self.rows.get(usize::from(rank))?.as_ref();
-        let mut asked = self.holders.iter();
-        asked.all(|rank| row(rank).is_some_and(there))
+        let mut requested = self.holders.iter();
+        requested.all(|rank| row(rank).is_some_and(confirmed))
     }
 
-    /// Returns the order that settles at this rank's endpoint whether the round goes on:
-    /// to be armed, or to load the map in force anew in place of the round's.
-    pub(super) fn settle(&self, own: &Maps, step: u64) -> Option<Order> {
+    /// Returns the order by which this rank's endpoint decides whether the round goes on:
+    /// to be armed, or to load the map in force again in place of the round's map.
+    pub(super) fn arm_or_revert(&self, own: &Maps, step: u64) -> Option<Order> {
         let version = self.round.version;
         if own.armed.is_some() {
             return None;
         }
-        if self.stage == Stage::Lead {
+        if self.stage == Stage::ArmLeader {
             return Some(Order::Arm { version, step });
         }
         let (_, map) = self.map.as_ref()?;
         Some(Order::Prepare {
-            version: undone(version),
+            version: reverted(version),
             map: map.clone(),
         })
     }
 }
 
-/// Returns the version under which rank 0 loads the map in force anew, so that it can't be
-/// armed with `version`. No other map gets it.
-const fn undone(version: u64) -> u64 {
+/// Returns the version under which rank 0 loads the map in force again, after which it
+/// cannot be armed with `version`. No other map gets that version.
+const fn reverted(version: u64) -> u64 {
     version + 1
 }
--- a/crates/rebalance/src/coordinator/stage.rs
+++ b/crates/rebalance/src/coordinator/stage.rs
@@ -1,32 +1,33 @@
-//! How far a coordinator's round is.
+//! The stages of a coordinator's round.
 
 use cactusnotch_base::clock::Instant;
 
-/// How far the coordinator's round is.
+/// The stage of the coordinator's round.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// None is under way.
-    Rest,
+    /// No round is under way.
+    Idle,
     /// The ranks load the map of this version.
     Prepare { since: Instant },
-    /// The group is to be held; all ranks have loaded the map. A rank was last asked to
-    /// hold it then.
-    Hold { asked: Option<Instant> },
-    /// The group is held, and the rank that has held it has to say that it is there. It
-    /// was last told then.
-    Meet {
+    /// The group is to be held; all ranks have loaded the map. `requested` is when a rank
+    /// was last asked to hold it.
+    Hold { requested: Option<Instant> },
+    /// The group is held, and the rank that has held it must confirm that it is responsive.
+    /// `announced` is when it was last notified.
+    Confirm {
         step: u64,
         since: Instant,
-        told: Option<Instant>,
+        announced: Option<Instant>,
     },
-    /// The group is held and that rank is out of reach: this rank gives the map up.
-    Undo,
-    /// The group is held, and this rank gets armed, ahead of all others.
-    Lead,
-    /// The group is held, and the other ranks get armed.
-    Arm,
-    /// The group is to be let go; either all ranks are armed, or none is.
-    Go { armed: bool },
-    /// The group goes on; the ranks switch as the pass begins.
+    /// The group is held and that rank is out of reach: this rank reverts to the map in
+    /// force.
+    Revert,
+    /// The group is held, and this rank is being armed, before all others.
+    ArmLeader,
+    /// The group is held, and the other ranks are being armed.
+    ArmOthers,
+    /// The group is to be released; either all ranks are armed, or none is.
+    Release { armed: bool },
+    /// The group was released; the ranks switch as the pass begins.
     Switch,
 }
--- a/crates/rebalance/src/endpoint.rs
+++ b/crates/rebalance/src/endpoint.rs
@@ -13,29 +13,29 @@
 use crate::codec::{Codec, Order, Unreadable};
 use crate::state::{Counts, State};
 
-/// The longest time to connect: the endpoint is on the same host.
+/// The time limit to connect: the endpoint is on the same host.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The longest time for an answer to a question.
+/// The time limit for an answer to a read.
 const CALL_TIMEOUT: Duration = Duration::from_millis(400);
-/// The longest time for an answer to an order. One without an answer may be
-/// carried out seconds later; the endpoint is asked for its state then and
-/// the order is given again if that doesn't show it, since the group may
-/// stand still meanwhile. Answers on the same host take one to three
-/// milliseconds; one that comes later shows in the state all the same.
+/// The time limit for an answer to an order. An order without an answer may be
+/// carried out seconds later; the endpoint's state is read then, and the order
+/// is sent again if the state does not show it, since the group may be stalled
+/// meanwhile. Answers on the same host take one to three milliseconds; the
+/// effect of one that comes later still shows in the state.
 const ORDER_TIMEOUT: Duration = Duration::from_millis(30);
-/// The longest answer: counts of some thousand experts.
+/// The largest answer, in bytes: counts of some thousand experts.
 const ANSWER_MAX: usize = 1 << 20;
 
-/// Why the endpoint gave no answer that can be used.
+/// The endpoint gave no usable answer.
 #[derive(Debug, Display, Error)]
 pub(crate) enum Error {
-    /// There was none.
+    /// It did not answer.
     #[display("{_0}")]
     Channel(channel::Error),
-    /// It refused.
+    /// It refused the request.
     #[display("refused with {_0}")]
     Refused(#[error(not(source))] StatusCode),
-    /// It can't be read.
+    /// Its answer could not be decoded.
     #[display("{_0}")]
     Unreadable(Unreadable),
 }
@@ -57,9 +57,9 @@
 }
 
 impl Error {
-    /// Tells whether the endpoint said nothing, so that its state has to show
-    /// what became of an order.
-    pub(crate) const fn is_silence(&self) -> bool {
+    /// Returns whether the endpoint did not answer in time. Its state must then
+    /// show whether an order took effect.
+    pub(crate) const fn is_timeout(&self) -> bool {
         matches!(self, Self::Channel(channel::Error::Timeout { .. }))
     }
 }
--- a/crates/rebalance/src/estimate.rs
+++ b/crates/rebalance/src/estimate.rs
@@ -1,42 +1,42 @@
-//! How much work each expert gets now.
+//! Estimates the work that each expert currently gets.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 
-/// The time after which half of a count is forgotten while demand only drifts.
-/// A turn is noticed by itself, so that this may be long enough for noise to
-/// stay small.
+/// The time after which a count has decayed by half while demand only drifts. A
+/// demand shift is detected separately, which allows a half-life long enough to
+/// smooth out noise.
 const HALF_LIFE: Duration = Duration::from_millis(800);
-/// The time over which the latest choices are gathered before they are compared
-/// with former ones: each rank reports once within it.
+/// The time over which the latest choices are collected before they are
+/// compared with former ones: each rank reports once within it.
 const WINDOW: Duration = Duration::from_millis(120);
-/// Demand has turned if the latest choices are this far from former ones, where
-/// 0 is the same popularity and 1 nothing in common. On played days windows of
-/// one demand were 0.01 (32 ranks) to 0.05 (8 ranks) apart, and 0.2 to 0.5
-/// where it had turned.
-const TURN_MIN: f64 = 0.06;
+/// The distance between the latest choices and former ones that shows a demand
+/// shift, where 0 is the same popularity and 1 nothing in common. In simulated
+/// days, windows of one demand were 0.01 (32 ranks) to 0.05 (8 ranks) apart,
+/// and 0.2 to 0.5 after a shift.
+const SHIFT_MIN: f64 = 0.06;
 /// The same as a multiple of the usual distance, since small groups have noisy
 /// windows.
-const TURN_FACTOR: f64 = 4.0;
-/// What a window adds to the usual distance.
-const USUAL_PART: f64 = 0.2;
-/// The same of a window that shows a turn: little, since turns are rare, but
-/// enough for a group whose windows are all noisy to be known as such.
-const USUAL_PART_TURNED: f64 = 0.05;
+const SHIFT_FACTOR: f64 = 4.0;
+/// The weight of a window in the moving mean of the usual distance.
+const USUAL_WEIGHT: f64 = 0.2;
+/// The same for a window that shows a shift: small, since shifts are rare, but
+/// enough to adapt to a group whose windows are all noisy.
+const USUAL_WEIGHT_SHIFTED: f64 = 0.05;
 
-/// How popular each expert of a group is now.
+/// The current popularity of each expert of a group.
 ///
-/// Counts fade slowly while demand drifts. Once the latest differ from the
-/// former ones by far more than usual, demand has turned and the former are
-/// dropped.
+/// Counts decay slowly while demand drifts. Once the latest differ from the
+/// former ones by far more than usual, demand has shifted and the former ones
+/// are dropped.
 #[derive(Debug, Clone)]
 pub struct Estimate {
     experts: usize,
     weights: Vec<f64>,
-    at: Option<Instant>,
-    heard: f64,
-    /// The choices since the window was opened, which `weights` holds too.
+    decayed_at: Option<Instant>,
+    total: f64,
+    /// The choices since the window was opened, which `weights` includes.
     latest: Vec<f64>,
     opened: Option<Instant>,
     /// The usual distance of a window from former choices.
@@ -44,23 +44,21 @@
 }
 
 impl Estimate {
-    /// Creates the estimate of `sets` sets of `experts` experts of which
-    /// nothing is known.
+    /// Creates an empty estimate of `sets` sets of `experts` experts.
     #[must_use]
     pub fn new(sets: usize, experts: usize) -> Self {
         Self {
             experts,
             weights: vec![0.0; sets * experts],
-            at: None,
-            heard: 0.0,
+            decayed_at: None,
+            total: 0.0,
             latest: vec![0.0; sets * experts],
             opened: None,
             usual: 0.0,
         }
     }
 
-    /// Adds the choices of one rank; returns whether they show that demand has
-    /// turned.
+    /// Adds the choices of one rank; returns whether they show a demand shift.
     pub fn add(&mut self, units: &[f32], counts: &[u8], now: Instant) -> bool {
         self.decay(now);
         let unit_of = |at: usize| units.get(at / self.experts).copied().unwrap_or(0.0);
@@ -69,7 +67,7 @@
             let choices = f64::from(unit_of(at)) * f64::from(count);
             *weight += choices;
             *latest += choices;
-            self.heard += choices;
+            self.total += choices;
         }
         let opened = *self.opened.get_or_insert(now);
         if now.saturating_duration_since(opened) < WINDOW {
@@ -80,36 +78,36 @@
     }
 
     /// Compares the latest choices with former ones, which are dropped if
-    /// demand has turned; returns whether it has.
+    /// demand has shifted; returns whether it has.
     fn close_window(&mut self) -> bool {
         let distance = distance(&self.latest, &self.weights);
-        let most = TURN_MIN.max(self.usual * TURN_FACTOR);
-        let turned = distance > most;
-        if turned {
+        let most = SHIFT_MIN.max(self.usual * SHIFT_FACTOR);
+        let shifted = distance > most;
+        if shifted {
             self.weights.clone_from(&self.latest);
-            self.heard = self.latest.iter().sum();
-            self.usual += USUAL_PART_TURNED * (most - self.usual);
+            self.total = self.latest.iter().sum();
+            self.usual += USUAL_WEIGHT_SHIFTED * (most - self.usual);
         } else {
-            self.usual += USUAL_PART * (distance - self.usual);
+            self.usual += USUAL_WEIGHT * (distance - self.usual);
         }
         self.latest.fill(0.0);
-        turned
+        shifted
     }
 
     fn decay(&mut self, now: Instant) {
-        let Some(at) = self.at.replace(now) else {
+        let Some(at) = self.decayed_at.replace(now) else {
             return;
         };
         let age = now.saturating_duration_since(at).as_secs_f64();
         let factor = 0.5_f64.powf(age / HALF_LIFE.as_secs_f64());
         self.weights.iter_mut().for_each(|weight| *weight *= factor);
-        self.heard *= factor;
+        self.total *= factor;
     }
 
     /// Returns the decayed choices of all experts together.
     #[must_use]
-    pub const fn heard(&self) -> f64 {
-        self.heard
+    pub const fn total(&self) -> f64 {
+        self.total
     }
 
     /// Returns the weights of one set's experts.
@@ -119,8 +117,8 @@
     }
 }
 
-/// Returns how far the popularity in `latest` is from that in the rest of
-/// `all`, from 0 to 1; 0 if either is empty.
+/// Returns the distance between the popularity in `latest` and that in the rest
+/// of `all`, from 0 to 1; 0 if either is empty.
 fn distance(latest: &[f64], all: &[f64]) -> f64 {
     let (mut product, mut latest_square, mut former_square) = (0.0, 0.0, 0.0);
     for (&latest, &all) in latest.iter().zip(all) {
@@ -137,8 +135,9 @@
     }
 }
 
-/// Writes counts as bytes: for each set the unit, and each expert's count in
-/// that unit. The most chosen expert of a set is told to 1 in 255.
+/// Encodes counts as bytes: for each set the unit, and each expert's count in
+/// that unit. The precision is 1/255 of the count of the most chosen expert of
+/// the set.
 #[must_use]
 pub fn pack(counts: &[u64], experts: usize) -> (Vec<f32>, Vec<u8>) {
     let mut units = Vec::with_capacity(counts.len() / experts.max(1));
@@ -152,7 +151,7 @@
     (units, bytes)
 }
 
-/// Counts between two messages stay far below 2^32.
+/// Converts a count between two messages, which stays far below 2^32.
 fn float(count: u64) -> f64 {
     f64::from(u32::try_from(count).unwrap_or(u32::MAX))
 }
--- a/crates/rebalance/src/experts.rs
+++ b/crates/rebalance/src/experts.rs
@@ -1,11 +1,11 @@
-//! The experts of a set by rank as bytes: one for each expert where numbers allow it. The
-//! map goes to all ranks over one host's narrow link.
+//! Encodes the experts of a set by rank, in one byte for each expert where its number
+//! permits. The map goes to all ranks over one host's narrow link.
 
 use serde::de::Error as _;
 use serde::{Deserializer, Serializer};
 use serde_bytes::ByteBuf;
 
-/// The first byte says how many bytes an expert's number takes.
+/// The first byte gives the number of bytes of an expert's number.
 const NARROW: u8 = 1;
 const WIDE: u8 = 2;
 
@@ -33,7 +33,8 @@
     deserializer: D,
 ) -> Result<Vec<Vec<u16>>, D::Error> {
     let bytes: ByteBuf = serde::Deserialize::deserialize(deserializer)?;
-    read(&bytes).ok_or_else(|| D::Error::custom("experts of another length"))
+    read(&bytes)
+        .ok_or_else(|| D::Error::custom("encoded experts are truncated or have an unknown width"))
 }
 
 fn read(bytes: &[u8]) -> Option<Vec<Vec<u16>>> {
--- a/crates/rebalance/src/layer.rs
+++ b/crates/rebalance/src/layer.rs
@@ -4,19 +4,19 @@
 use crate::map::Move;
 use crate::plan::Candidate;
 
-/// The busiest ranks that are relieved, the idlest that take over, and the
-/// hottest experts of a rank that are looked at. More bring little: the peak
-/// is made by few, and a plan has to be done within some milliseconds.
+/// The number of busiest ranks to relieve, of least loaded ranks to receive work, and of
+/// most used experts of a rank that are tried. More bring little: the peak comes from few,
+/// and a plan has to be computed within some milliseconds.
 const SOURCES: usize = 3;
 const TARGETS: usize = 8;
-const HOTTEST: usize = 6;
+const EXPERTS: usize = 6;
 
-/// One set of layers with the loads of its ranks: the time that each needs, where
-/// one is that of an even share at the usual pace.
+/// One set of layers with the loads of its ranks: the time that each needs, where 1 is that
+/// of an even share at the usual pace.
 ///
-/// The peak is a power mean of the loads. It is close to the greatest load,
-/// and unlike it falls also when one of several equally busy ranks is
-/// relieved, so that the search doesn't stop there.
+/// The peak is a power mean of the loads. It is close to the greatest load, but it also
+/// falls when one of several equally busy ranks is relieved, which keeps the search from
+/// stopping there.
 #[derive(Debug, Clone)]
 pub(crate) struct Layer {
     set: u16,
@@ -27,21 +27,21 @@
     loads: Vec<f64>,
     /// How many times longer than usual each rank takes.
     paces: Vec<f64>,
-    /// The loads to the power of the mean.
+    /// The loads raised to the power of the mean.
     powers: Vec<f64>,
     /// The sum of the powers.
     power_sum: f64,
-    new: Vec<usize>,
+    copies: Vec<usize>,
 }
 
-/// Returns a load to the power of the mean, the eighth.
+/// Returns a load raised to the power of the mean, the eighth.
 fn power(load: f64) -> f64 {
     let square = load * load;
     let fourth = square * square;
     fourth * fourth
 }
 
-fn peak(powers: f64) -> f64 {
+fn power_mean(powers: f64) -> f64 {
     powers.max(0.0).sqrt().sqrt().sqrt()
 }
 
@@ -76,9 +76,9 @@
             paces: paces.to_vec(),
             powers: vec![0.0; ranks.len()],
             power_sum: 0.0,
-            new: vec![0; ranks.len()],
+            copies: vec![0; ranks.len()],
         };
-        layer.sum();
+        layer.recompute();
         layer
     }
 
@@ -88,7 +88,7 @@
         (most > 0.0).then_some(most)
     }
 
-    pub(crate) fn carry_out(&mut self, step: &Move) {
+    pub(crate) fn apply(&mut self, step: &Move) {
         let rank = usize::from(step.rank);
         if let Some(out) = step.out {
             self.ranks[rank].retain(|&expert| expert != out);
@@ -98,18 +98,18 @@
             self.ranks[rank].push(new);
             self.ranks[rank].sort_unstable();
             self.holders[usize::from(new)].push(step.rank);
-            self.new[rank] += 1;
+            self.copies[rank] += 1;
         }
-        self.sum();
+        self.recompute();
     }
 
-    /// Returns what each holder of an expert does of its work.
+    /// Returns the part of an expert's work that each of its holders does.
     fn share(&self, expert: u16) -> f64 {
         let expert = usize::from(expert);
         self.weights[expert] / float(self.holders[expert].len().max(1))
     }
 
-    fn sum(&mut self) {
+    fn recompute(&mut self) {
         for rank in 0..self.ranks.len() {
             let shares = self.ranks[rank].iter().map(|&expert| self.share(expert));
             self.loads[rank] = self.paces[rank] * shares.sum::<f64>();
@@ -124,48 +124,60 @@
         self.holders[usize::from(expert)].contains(&number(rank))
     }
 
-    /// Returns the change that brings most for each copy, at least `least`.
-    pub(crate) fn best(&self, room: &[usize], shape: &Shape, least: f64) -> Option<Candidate> {
+    /// Returns the change with the greatest gain for each copy, of at least `min_gain`.
+    pub(crate) fn best(
+        &self,
+        copies_left: &[usize],
+        shape: &Shape,
+        min_gain: f64,
+    ) -> Option<Candidate> {
         let mut order: Vec<usize> = (0..self.loads.len()).collect();
         order.sort_by(|&a, &b| self.loads[b].total_cmp(&self.loads[a]));
-        let open = |rank: usize| room[rank] > 0 && self.new[rank] < shape.spare;
+        let has_room = |rank: usize| copies_left[rank] > 0 && self.copies[rank] < shape.spare;
         let targets: Vec<_> = order
             .iter()
             .rev()
             .copied()
-            .filter(|&rank| open(rank))
+            .filter(|&rank| has_room(rank))
             .take(TARGETS)
             .collect();
         let mut best: Option<Candidate> = None;
         for &source in order.iter().take(SOURCES) {
-            for hot in self.hottest(source) {
-                if let Some(candidate) = self.surplus(source, hot, least)
+            for expert in self.busiest_experts(source) {
+                if let Some(candidate) = self.removal(source, expert, min_gain)
                     && best.is_none_or(|best| candidate.gain > best.gain)
                 {
                     best = Some(candidate);
                 }
-                let takers = targets.iter().copied();
-                let takers = takers.filter(|&rank| {
-                    self.loads[rank] < self.loads[source] && !self.holds(rank, hot)
+                let receivers = targets.iter().copied();
+                let receivers = receivers.filter(|&rank| {
+                    self.loads[rank] < self.loads[source] && !self.holds(rank, expert)
                 });
-                for target in takers {
-                    self.offers(source, target, hot, open(source), shape, |candidate| {
-                        if candidate.gain >= least
-                            && best.is_none_or(|best| candidate.gain > best.gain)
-                        {
-                            best = Some(candidate);
-                        }
-                    });
+                for target in receivers {
+                    self.transfers(
+                        source,
+                        target,
+                        expert,
+                        has_room(source),
+                        shape,
+                        |candidate| {
+                            if candidate.gain >= min_gain
+                                && best.is_none_or(|best| candidate.gain > best.gain)
+                            {
+                                best = Some(candidate);
+                            }
+                        },
+                    );
                 }
             }
         }
         best
     }
 
-    /// Returns the change that `rank` gives up `expert`, which others hold too, if
-    /// that is worth as much as a copy has to be: a copy may have been paid for, and
-    /// would have to be made again.
-    fn surplus(&self, rank: usize, expert: u16, least: f64) -> Option<Candidate> {
+    /// Returns the change that removes `expert`, which others hold too, from `rank`, if its
+    /// gain reaches that required of a copy: the removed copy would have to be made again
+    /// if it is needed later.
+    fn removal(&self, rank: usize, expert: u16, min_gain: f64) -> Option<Candidate> {
         if self.holders[usize::from(expert)].len() < 2 {
             return None;
         }
@@ -173,76 +185,75 @@
         let mut power_sum = self.power_sum;
         for &holder in &self.holders[usize::from(expert)] {
             let holder = usize::from(holder);
-            let more = change.on(true, false, holder == rank);
+            let more = change.delta(true, false, holder == rank);
             power_sum +=
                 power(self.loads[holder] + self.paces[holder] * more) - self.powers[holder];
         }
-        let gain = peak(self.power_sum) - peak(power_sum);
+        let gain = power_mean(self.power_sum) - power_mean(power_sum);
         let first = Move {
             set: self.set,
             rank: number(rank),
             out: Some(expert),
             new: None,
         };
-        (gain >= least).then_some(Candidate {
+        (gain >= min_gain).then_some(Candidate {
             first,
             second: None,
             gain,
         })
     }
 
-    fn hottest(&self, rank: usize) -> Vec<u16> {
+    fn busiest_experts(&self, rank: usize) -> Vec<u16> {
         let mut experts = self.ranks[rank].clone();
         experts.sort_by(|&a, &b| self.share(b).total_cmp(&self.share(a)));
-        experts.truncate(HOTTEST);
+        experts.truncate(EXPERTS);
         experts
     }
 
-    /// Offers the changes that bring `hot` from `source` to `target`: a copy
-    /// in a free place or in that of an expert held elsewhere too, or an
-    /// exchange.
-    fn offers(
+    /// Passes the changes that bring `expert` from `source` to `target` to `consider`: a
+    /// copy in a free place or in that of an expert held elsewhere too, or an exchange.
+    fn transfers(
         &self,
         source: usize,
         target: usize,
-        hot: u16,
+        expert: u16,
         exchange: bool,
         shape: &Shape,
-        mut offer: impl FnMut(Candidate),
+        mut consider: impl FnMut(Candidate),
     ) {
         let bring = |out| Move {
             set: self.set,
             rank: number(target),
             out,
-            new: Some(hot),
+            new: Some(expert),
         };
         if self.ranks[target].len() < shape.places {
             let first = bring(None);
-            offer(Candidate {
+            consider(Candidate {
                 first,
                 second: None,
-                gain: self.gain(target, None, hot, None),
+                gain: self.gain(target, None, expert, None),
             });
             return;
         }
         for &out in &self.ranks[target] {
             let first = bring(Some(out));
             if self.holders[usize::from(out)].len() > 1 {
-                offer(Candidate {
+                consider(Candidate {
                     first,
                     second: None,
-                    gain: self.gain(target, None, hot, Some(out)),
+                    gain: self.gain(target, None, expert, Some(out)),
                 });
             }
             if exchange && !self.holds(source, out) {
                 let second = Move {
                     set: self.set,
                     rank: number(source),
-                    out: Some(hot),
+                    out: Some(expert),
                     new: Some(out),
                 };
-                let gain = self.gain(target, Some(source), hot, Some(out)) / 2.0;
-                offer(Candidate {
+                let gain = self.gain(target, Some(source), expert, Some(out)) / 2.0;
+                consider(Candidate {
                     first,
                     second: Some(second),
                     gain,
@@ -251,42 +262,42 @@
         }
     }
 
-    /// Returns what it takes off the peak if `target` gets `hot` and gives up
-    /// `out`, which goes to `source` in exchange if that is given.
+    /// Returns the reduction of the peak if `target` adds `expert` and removes `out`, which
+    /// `source` adds in exchange if it is given.
     ///
-    /// Only the holders of the two experts are looked at, a few of the ranks: a
-    /// plan tries some ten thousand changes on a small part of a core, and the
-    /// group is uneven until it is made.
-    fn gain(&self, target: usize, source: Option<usize>, hot: u16, out: Option<u16>) -> f64 {
+    /// Only the holders of the two experts are evaluated, a few of the ranks: a plan tries
+    /// some ten thousand changes on a small part of a core, and the group stays unbalanced
+    /// until it is complete.
+    fn gain(&self, target: usize, source: Option<usize>, expert: u16, out: Option<u16>) -> f64 {
         let exchange = source.is_some();
-        // Of an exchange the number of holders stays as it is.
-        let hot_change = Change::new(self, hot, i64::from(!exchange));
+        // An exchange keeps the number of holders.
+        let expert_change = Change::new(self, expert, i64::from(!exchange));
         let out_change = out.map(|out| (out, Change::new(self, out, -i64::from(!exchange))));
         let mut power_sum = self.power_sum;
-        let mut look = |rank: usize| {
+        let mut add_rank = |rank: usize| {
             let (gets, gives) = (rank == target, source == Some(rank));
-            let mut more = hot_change.on(self.holds(rank, hot), gets, gives);
+            let mut more = expert_change.delta(self.holds(rank, expert), gets, gives);
             if let Some((out, change)) = &out_change {
-                more += change.on(self.holds(rank, *out), gives, gets);
+                more += change.delta(self.holds(rank, *out), gives, gets);
             }
             let load = self.loads[rank] + self.paces[rank] * more;
             power_sum += power(load) - self.powers[rank];
         };
         let holders = |expert: u16| self.holders[usize::from(expert)].iter().copied();
-        holders(hot).map(usize::from).for_each(&mut look);
+        holders(expert).map(usize::from).for_each(&mut add_rank);
         match out {
-            // The target holds what it gives up.
+            // The target holds the expert that it removes.
             Some(out) => holders(out)
                 .map(usize::from)
-                .filter(|&rank| !self.holds(rank, hot))
-                .for_each(&mut look),
-            None => look(target),
+                .filter(|&rank| !self.holds(rank, expert))
+                .for_each(&mut add_rank),
+            None => add_rank(target),
         }
-        peak(self.power_sum) - peak(power_sum)
+        power_mean(self.power_sum) - power_mean(power_sum)
     }
 }
 
-/// The share of an expert before and after a change.
+/// The share of an expert for each holder before and after a change.
 struct Change {
     before: f64,
     after: f64,
@@ -304,9 +315,9 @@
         }
     }
 
-    /// Returns what changes for a rank that holds the expert or not, and gets
-    /// it or gives it up.
-    fn on(&self, holds: bool, gets: bool, gives: bool) -> f64 {
+    /// Returns the change of the load of a rank that holds the expert or not, and adds or
+    /// removes it.
+    fn delta(&self, holds: bool, gets: bool, gives: bool) -> f64 {
         let before = if holds { self.before } else { 0.0 };
         let after = if (holds && !gives) || gets {
             self.after
--- a/crates/rebalance/src/lib.rs
+++ b/crates/rebalance/src/lib.rs
@@ -1,17 +1,15 @@
-//! Keeps the load of a group's ranks even while experts come into fashion.
+//! Keeps the load of a group's ranks balanced while the popularity of experts changes.
 //!
-//! An agent beside each rank reads its own endpoint, reports to the agent of
-//! rank 0, and gives its own endpoint orders. The agent of rank 0 alone starts
-//! a round: it plans a few moves, has all ranks load them, has another rank's agent hold
-//! the group before a step, has all ranks armed for that step, its own first, and lets
-//! the group go on. Once its own rank is armed a round only goes forward, so that an order
-//! which is carried out late can do no harm; `docs/design/platform.md` has the
-//! argument, and [`coordinator::Coordinator`] and [`member::Member`] decide
-//! without input or output.
+//! An agent beside each rank reads the state of its own endpoint, reports it to the agent
+//! of rank 0, and gives orders to its own endpoint. Only the agent of rank 0 starts rounds:
+//! it plans a few moves, has all ranks load them, has the agent of another rank hold the
+//! group before a pass, has all ranks armed for that pass, its own rank first, and releases
+//! the group. Once rank 0 is armed, a round only goes forward, which makes an order that is
+//! carried out late harmless. `docs/design/platform.md` gives the argument;
+//! [`coordinator::Coordinator`] and [`member::Member`] make the decisions without I/O.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
-pub mod again;
 pub mod agent;
 pub mod codec;
 pub mod coordinator;
@@ -21,11 +19,12 @@
 pub mod message;
 pub mod plan;
 pub mod pressure;
-pub mod price;
 pub mod rank;
 pub mod relay;
-pub mod rescue;
+pub mod resend;
 pub mod state;
+pub mod takeover;
+pub mod threshold;
 
 pub mod cadence;
 mod endpoint;
--- a/crates/rebalance/src/map.rs
+++ b/crates/rebalance/src/map.rs
@@ -1,4 +1,4 @@
-//! An expert map: which ranks hold each expert.
+//! The expert map: which ranks hold each expert.
 
 use cactusnotch_derive::{message, record};
 
@@ -7,11 +7,11 @@
 #[record]
 #[derive(Default)]
 pub struct Map {
-    /// For each set, for each rank, the experts in rising order.
+    /// For each set, for each rank, the experts in ascending order.
     pub sets: Vec<Vec<Vec<u16>>>,
 }
 
-/// One expert that a rank gets, gives up, or both.
+/// A change of one rank: an expert that it adds, one that it removes, or both.
 #[message]
 #[derive(Copy, Eq)]
 pub struct Move {
@@ -19,14 +19,14 @@
     pub set: u16,
     /// The rank.
     pub rank: u16,
-    /// The expert that the rank gives up, if any.
+    /// The expert that the rank removes, if any.
     pub out: Option<u16>,
-    /// The expert that the rank gets, if any; it has to be copied.
+    /// The expert that the rank adds, if any; it has to be copied.
     pub new: Option<u16>,
 }
 
 impl Map {
-    /// Carries a move out; returns whether it fits the map.
+    /// Applies a move; returns whether it fits the map.
     pub fn apply(&mut self, step: &Move) -> bool {
         let rank = self.sets.get_mut(usize::from(step.set));
         let Some(held) = rank.and_then(|set| set.get_mut(usize::from(step.rank))) else {
@@ -44,7 +44,7 @@
         held.binary_search(&out).map(|at| held.remove(at)).is_ok()
     }
 
-    /// Tells whether every expert of each set is held by a rank, and no rank
+    /// Returns whether every expert of each set is held by a rank, and no rank
     /// holds more than `places` of a set.
     #[must_use]
     pub fn is_complete(&self, experts: usize, places: usize) -> bool {
--- a/crates/rebalance/src/member.rs
+++ b/crates/rebalance/src/member.rs
@@ -1,35 +1,35 @@
-//! What one rank's agent orders its own endpoint.
+//! Decides what one rank's agent orders its own endpoint.
 
 use crate::codec::Order;
 use crate::map::Map;
-use crate::message::{Heard, Part, Phase, Round};
+use crate::message::{Part, Phase, Progress, Round};
 use crate::state::{Maps, Place};
 
-/// What one rank's agent knows of its group's maps, and what it orders its
-/// own endpoint.
+/// The maps of the group as one rank's agent has received them, and the orders to its own
+/// endpoint that follow.
 #[derive(Debug, Default)]
 pub struct Member {
     place: Option<Place>,
     /// The whole map in force, with its version.
     current: Option<(u64, Map)>,
-    /// The whole map that the round is to bring, with its version.
+    /// The whole map that the round will put in force, with its version.
     next: Option<(u64, Map)>,
     round: Option<Round>,
     /// Whether rank 0 lacks the map in force.
-    asked: bool,
+    held_requested: bool,
     term: Option<u64>,
     parts: Vec<Part>,
 }
 
 impl Member {
-    /// Creates a member that knows nothing.
+    /// Creates a member without any state.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes what the endpoint says of its rank and maps. In another epoch or
-    /// group everything starts anew.
+    /// Records the rank and maps that the endpoint reports. A new epoch or group resets all
+    /// state.
     pub fn observe(&mut self, place: &Place, maps: &Maps) {
         if self.place.as_ref() != Some(place) {
             *self = Self {
@@ -53,50 +53,50 @@
         }
     }
 
-    /// Returns the version of the whole map that is known to be in force.
+    /// Returns the version of the whole map in force, if it is known.
     #[must_use]
-    pub fn known(&self) -> Option<u64> {
+    pub fn map_version(&self) -> Option<u64> {
         self.current.as_ref().map(|(version, _)| *version)
     }
 
-    /// Returns the term of the leader that was heard last.
+    /// Returns the term of the leader that was seen last.
     #[must_use]
     pub const fn term(&self) -> Option<u64> {
         self.term
     }
 
-    /// Tells whether rank 0 asks which experts this rank holds.
+    /// Returns whether rank 0 asks which experts this rank holds.
     #[must_use]
-    pub const fn is_asked(&self) -> bool {
-        self.asked
+    pub const fn is_held_requested(&self) -> bool {
+        self.held_requested
     }
 
-    /// Returns the round that was heard of last.
+    /// Returns the latest round received.
     #[must_use]
     pub const fn round(&self) -> Option<&Round> {
         self.round.as_ref()
     }
 
-    /// Returns the pass before which the group is held, as far as the leader has told.
+    /// Returns the pass before which the group is held, according to the leader.
     #[must_use]
-    pub fn met(&self) -> Option<u64> {
+    pub fn held_step(&self) -> Option<u64> {
         match self.round.as_ref()?.phase {
             Phase::Meet { step } | Phase::Arm { step } => Some(step),
             Phase::Rest | Phase::Prepare | Phase::Commit => None,
         }
     }
 
-    /// Returns how far the round is that was heard of last.
+    /// Returns the version and phase of the latest round received.
     #[must_use]
-    pub fn heard(&self) -> Option<Heard> {
+    pub fn progress(&self) -> Option<Progress> {
         let round = self.round.as_ref()?;
-        Some(Heard {
+        Some(Progress {
             version: round.version,
             phase: round.phase,
         })
     }
 
-    /// Tells whether a round is under way.
+    /// Returns whether a round is under way.
     #[must_use]
     pub fn is_busy(&self) -> bool {
         self.round
@@ -104,9 +104,9 @@
             .is_some_and(|round| round.phase != Phase::Rest)
     }
 
-    /// Takes a part of the map in force; returns whether it is complete now.
-    pub fn learn(&mut self, part: Part) -> bool {
-        if !self.is_mine(&part.group, part.epoch) {
+    /// Adds a part of the map in force; returns whether the map is complete now.
+    pub fn add_part(&mut self, part: Part) -> bool {
+        if !self.matches(&part.group, part.epoch) {
             return false;
         }
         self.parts
@@ -122,34 +122,35 @@
         true
     }
 
-    /// Takes the whole map in force.
-    pub fn know(&mut self, version: u64, map: Map) {
+    /// Sets the whole map in force.
+    pub fn set_map(&mut self, version: u64, map: Map) {
         self.current = Some((version, map));
     }
 
-    /// Takes how far the round is.
-    pub fn take(&mut self, round: Round) {
-        if !self.is_mine(&round.group, round.epoch) {
+    /// Records a round, unless it is older than the one recorded.
+    pub fn update_round(&mut self, round: Round) {
+        if !self.matches(&round.group, round.epoch) {
             return;
         }
-        self.asked = round.asks_held;
+        self.held_requested = round.asks_held;
         self.term = Some(round.term);
         let older = self.round.as_ref().is_some_and(|known| {
             round.version < known.version
-                || (round.version == known.version && rank_of(round.phase) < rank_of(known.phase))
+                || (round.version == known.version
+                    && phase_order(round.phase) < phase_order(known.phase))
         });
         if !older {
             self.round = Some(round);
         }
     }
 
-    /// Tells whether another rank is of the same group and life of it.
+    /// Returns whether another rank belongs to the same group and epoch.
     #[must_use]
-    pub fn is_in(&self, other: &Place) -> bool {
-        self.is_mine(&other.group, other.epoch)
+    pub fn is_in_group_of(&self, other: &Place) -> bool {
+        self.matches(&other.group, other.epoch)
     }
 
-    fn is_mine(&self, group: &str, epoch: u64) -> bool {
+    fn matches(&self, group: &str, epoch: u64) -> bool {
         self.place
             .as_ref()
             .is_some_and(|place| place.group == group && place.epoch == epoch)
@@ -169,14 +170,14 @@
                 let map = self.target()?;
                 Some(Order::Prepare { version, map })
             }
-            // Only a loaded map is armed, and the round waits for that.
+            // Only a loaded map is armed; the round waits until it is loaded.
             Phase::Arm { step } => {
                 (maps.prepared == Some(version)).then_some(Order::Arm { version, step })
             }
         }
     }
 
-    /// Returns the map that the round is to bring.
+    /// Returns the map that the round will put in force.
     fn target(&mut self) -> Option<Map> {
         let round = self.round.as_ref()?;
         if let Some((version, map)) = &self.next
@@ -197,8 +198,8 @@
     }
 }
 
-/// The order in which the phases of a round follow each other.
-const fn rank_of(phase: Phase) -> u8 {
+/// Returns the position of a phase in the sequence of a round.
+const fn phase_order(phase: Phase) -> u8 {
     match phase {
         Phase::Prepare => 0,
         Phase::Commit => 1,
--- a/crates/rebalance/src/message.rs
+++ b/crates/rebalance/src/message.rs
@@ -9,55 +9,55 @@
 use crate::map::Move;
 use crate::state::{Maps, Place};
 
-/// What an agent tells the agent of rank 0.
+/// The status of a rank, as its agent reports it to the agent of rank 0.
 #[message]
-pub struct Standing {
+pub struct Status {
     /// The rank.
     pub place: Place,
-    /// Whether the group takes requests.
+    /// Whether the group accepts requests.
     pub open: bool,
     /// The maps of the rank.
     pub maps: Maps,
     /// How slow the rank is.
     pub pace: Pace,
-    /// The requests that run or wait there for each of its slots, in hundredths.
+    /// The running and waiting requests for each of its slots, in hundredths.
     pub fill: u16,
-    /// The term of the leader that the agent has heard last.
+    /// The term of the leader that the agent has seen last.
     pub term: Option<u64>,
-    /// The pass before which the group is held, as the agent has heard it in the round.
+    /// The pass before which the group is held, as the agent has received it in the round.
     pub met: Option<u64>,
-    /// How far the round is that the agent has heard of last.
-    pub heard: Option<Heard>,
-    /// The version of the whole map that the agent knows.
+    /// The progress of the latest round that the agent has received.
+    pub heard: Option<Progress>,
+    /// The version of the whole map that the agent has.
     pub known: Option<u64>,
-    /// The experts that the rank holds in the map in force, by set, while the
-    /// agent does not know the whole map.
+    /// The experts that the rank holds in the map in force, by set, while the agent lacks
+    /// the whole map.
     pub held: Option<Vec<Vec<u16>>>,
 }
 
-/// How far a rank knows the round.
+/// The progress of a round.
 #[message]
 #[derive(Copy, Eq)]
-pub struct Heard {
-    /// The version that the round is to bring.
+pub struct Progress {
+    /// The version that the round will put in force.
     pub version: u64,
-    /// How far it has come.
+    /// The phase of the round.
     pub phase: Phase,
 }
 
-/// How often a rank's requests, or those of a branch of ranks, chose each expert since its
-/// last message.
+/// How often the requests of a rank, or of a branch of ranks, have chosen each expert since
+/// its last message.
 #[message]
 pub struct Choices {
     /// The rank.
     pub place: Place,
-    /// For each set, what one unit of a count stands for.
+    /// For each set, the number of choices that one unit of a count stands for.
     pub units: Vec<f32>,
     /// The counts of all sets, in units.
     pub counts: ByteBuf,
 }
 
-/// How far a round has come.
+/// The phase of a round.
 #[message]
 #[derive(Copy, Eq)]
 pub enum Phase {
@@ -65,96 +65,96 @@
     Rest,
     /// The ranks load the map.
     Prepare,
-    /// All ranks have loaded the map, and the leader will not give it up any
-    /// more unless some rank is out of reach. It says so before the group is held, so
-    /// that others can go on if it falls silent then.
+    /// All ranks have loaded the map, and the leader abandons it only if some rank is out
+    /// of reach. This is announced before the group is held, so that other agents can
+    /// complete the round if the leader becomes unresponsive afterwards.
     Commit,
-    /// The group is held, and who is told this says that it is there before any rank is
-    /// armed: the one that has held the group, or all if the leader is silent. One that has
-    /// fallen silent could never be known to be armed or not.
+    /// The group is held, and each agent that receives this phase confirms that it is
+    /// responsive before any rank is armed: the one that has held the group, or all agents
+    /// if the leader is unresponsive. It could never be determined whether an unresponsive
+    /// rank is armed.
     Meet {
         /// The pass.
         step: u64,
     },
-    /// The group is held and the ranks get armed for this pass.
+    /// The group is held and the ranks are armed for this pass.
     Arm {
         /// The pass.
         step: u64,
     },
 }
 
-/// What the agent of rank 0 asks of the others.
+/// The round, as the agent of rank 0 announces it to the others.
 #[message]
 pub struct Round {
     /// The group.
     pub group: String,
-    /// The group's life.
+    /// The epoch of the group.
     pub epoch: u64,
-    /// The number of the leading process's life, which no other life has.
+    /// A number that is unique to the incarnation of the leading process.
     pub term: u64,
-    /// The version that the round is to bring.
+    /// The version that the round will put in force.
     pub version: u64,
-    /// The version that it starts from.
+    /// The version that the round starts from.
     pub base: u64,
-    /// What differs between the two, while ranks are to load it.
+    /// The difference between the two, while ranks have to load it.
     #[serde(with = "crate::moves")]
     pub moves: Vec<Move>,
-    /// How far it has come.
+    /// The phase of the round.
     pub phase: Phase,
-    /// Whether rank 0 lacks the map in force and asks which experts each rank
-    /// holds.
+    /// Whether rank 0 lacks the map in force and asks which experts each rank holds.
     pub asks_held: bool,
 }
 
-/// Rank 0 asks another rank to hold the group at rank 0's endpoint.
+/// The request of rank 0 to another rank to hold the group at rank 0's endpoint.
 ///
-/// A host that stands still right after it has given an order can't be asked what
-/// became of it, nor can its endpoint. Held at another host than the one that gives the
-/// order, the group can be let go at once.
+/// If a host freezes right after it has given an order, neither its agent nor its endpoint
+/// can report whether the order took effect. If the endpoint is on another host than the
+/// agent that gives the order, the group can be released at once.
 #[message]
-pub struct Ask {
-    /// Rank 0, which asks.
+pub struct HoldRequest {
+    /// The position of rank 0, which makes the request.
     pub place: Place,
-    /// Where its endpoint takes orders.
+    /// The address at which rank 0's endpoint accepts orders.
     pub endpoint: SocketAddr,
-    /// The number of orders that the endpoint has begun; with another one it refuses
-    /// the hold.
+    /// The number of orders that the endpoint has begun; it refuses the hold if the number
+    /// differs.
     pub sequence: u64,
     /// The pass.
     pub step: u64,
 }
 
-/// One set of the whole map, for agents that don't know it.
+/// One set of the whole map, for agents that lack it.
 #[message]
 pub struct Part {
     /// The group.
     pub group: String,
-    /// The group's life.
+    /// The epoch of the group.
     pub epoch: u64,
     /// The version of the map.
     pub version: u64,
-    /// The number of the set.
+    /// The index of the set.
     pub set: u16,
-    /// The sets of the map.
+    /// The number of sets of the map.
     pub sets: u16,
     /// The experts that each rank holds.
     #[serde(with = "crate::experts")]
     pub ranks: Vec<Vec<u16>>,
 }
 
-/// Rank 0 has a rank pass on what it says.
+/// A message of rank 0 for a rank to forward to its branch.
 #[message]
 pub struct Relay {
-    /// The agents that it is passed on to.
+    /// The agents that it is forwarded to.
     pub to: Vec<SocketAddr>,
-    /// An encoded datagram, for the relay too.
+    /// An encoded datagram, which the relay handles as well.
     pub message: ByteBuf,
 }
 
-/// What rank 0 says, passed on by a relay.
+/// A message of rank 0, forwarded by a relay.
 #[message]
 pub struct Relayed {
-    /// Where rank 0's agent is.
+    /// The address of rank 0's agent.
     pub leader: SocketAddr,
     /// The encoded datagram.
     pub message: ByteBuf,
@@ -163,23 +163,22 @@
 /// A datagram between agents.
 #[message]
 pub enum Datagram {
-    /// A rank looks for the agent of rank 0 of its group.
+    /// A rank searches for the agent of rank 0 of its group.
     Seek(Place),
-    /// A rank tells how it stands.
-    Standing(Standing),
-    /// A rank tells what its requests chose.
+    /// A rank reports its status.
+    Standing(Status),
+    /// A rank reports the expert choices of its requests.
     Choices(Choices),
-    /// Rank 0 tells how far the round is.
+    /// Rank 0 announces the round.
     Round(Round),
-    /// A rank completes the round of a silent leader and asks how others
-    /// stand.
+    /// A rank completes the round of an unresponsive leader and requests status reports.
     Finish(Round),
-    /// Rank 0 asks a rank to hold the group.
-    Ask(Ask),
-    /// Rank 0 tells a part of the map.
+    /// Rank 0 requests that a rank hold the group.
+    Ask(HoldRequest),
+    /// Rank 0 sends a part of the map.
     Part(Part),
-    /// Rank 0 has a rank pass on what it says.
+    /// Rank 0 has a rank forward a message.
     Relay(Relay),
-    /// A relay passes on what rank 0 says.
+    /// A relay forwards a message of rank 0.
     Relayed(Relayed),
 }
--- a/crates/rebalance/src/moves.rs
+++ b/crates/rebalance/src/moves.rs
@@ -1,5 +1,6 @@
-//! Moves as bytes: eight for each, where names and types of fields would take
-//! four times as much. A round goes to all ranks over one host's narrow link.
+//! Encodes moves as eight bytes each; with names and types of fields they would
+//! take four times as much. A round goes to all ranks over one host's narrow
+//! link.
 
 use serde::de::Error as _;
 use serde::{Deserializer, Serializer};
@@ -7,9 +8,9 @@
 
 use crate::map::Move;
 
-/// The bytes of a move: set, rank, expert that goes, expert that comes.
+/// The bytes of a move: set, rank, removed expert, added expert.
 const LENGTH: usize = 8;
-/// Stands for no expert.
+/// Encodes the absence of an expert.
 const NONE: u16 = u16::MAX;
 
 pub(crate) fn serialize<S: Serializer>(moves: &[Move], serializer: S) -> Result<S::Ok, S::Error> {
@@ -29,7 +30,9 @@
     let bytes: ByteBuf = serde::Deserialize::deserialize(deserializer)?;
     let (moves, rest) = bytes.as_chunks::<LENGTH>();
     if !rest.is_empty() {
-        return Err(D::Error::custom("moves of another length"));
+        return Err(D::Error::custom(
+            "length of the encoded moves is not a multiple of 8 bytes",
+        ));
     }
     let number = |bytes: &[u8; LENGTH], at: usize| u16::from_le_bytes([bytes[at], bytes[at + 1]]);
     let expert = |bytes: &[u8; LENGTH], at: usize| Some(number(bytes, at)).filter(|&e| e != NONE);
--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -1,4 +1,4 @@
-//! Which few experts to move next.
+//! Plans the moves of the next round.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use crate::layer::Layer;
 use crate::map::{Map, Move};
 use crate::pressure::Pressure;
-use crate::price::Price;
+use crate::threshold::Threshold;
 
-/// How a round is kept small, and what a move has to bring.
+/// The limits of a round, and the gain required of a move.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Options {
-    /// The most experts that one rank gets in a round; it decides how long
-    /// the ranks load.
-    pub per_rank: usize,
-    /// What each new expert has to take off the peak load.
-    pub price: Price,
+    /// The most experts that one rank adds in a round; it determines how long the ranks
+    /// load.
+    pub copies_per_rank: usize,
+    /// The reduction of the peak load required of each new expert.
+    pub threshold: Threshold,
     /// The longest pause between events that callers of the group accept.
-    pub pause: Option<Duration>,
+    pub max_pause: Option<Duration>,
 }
 
-/// What is known of the group that is planned for.
+/// The state of the group that is planned for.
 #[derive(Debug, Clone, Copy)]
 pub struct Group<'a> {
     /// How near it is to its limits.
@@ -32,23 +32,23 @@
     pub paces: &'a [f64],
 }
 
-/// A round's moves with the skew that they are made for.
+/// The moves of a round with the skew before and after them.
 #[record]
 #[derive(Default)]
 pub struct Plan {
     /// The moves.
     pub moves: Vec<Move>,
-    /// The time of the slowest rank over that of an even share at the usual pace, mean
-    /// of all sets, in thousandths.
+    /// The time of the slowest rank relative to that of an even share at the usual pace,
+    /// mean of all sets, in thousandths.
     pub before: u32,
     /// The same after the moves.
     pub after: u32,
-    /// How near the group is to its limits without them, from 0 to 100.
+    /// How near the group is to its limits without the moves, from 0 to 100.
     pub pressure: u8,
 }
 
 impl Plan {
-    /// Returns the part of the skew that the moves take off.
+    /// Returns the fraction of the skew that the moves remove.
     #[must_use]
     pub fn gain(&self) -> f64 {
         let before = f64::from(self.before.max(1));
@@ -56,13 +56,13 @@
     }
 }
 
-/// A change of a set and what it brings.
+/// A change of a set and its gain.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct Candidate {
     pub(crate) first: Move,
     pub(crate) second: Option<Move>,
-    /// What it takes off the peak for each new expert, or in all if there is none, in
-    /// mean loads.
+    /// The reduction of the peak for each new expert, or in total if there is none, in mean
+    /// loads.
     pub(crate) gain: f64,
 }
 
@@ -71,17 +71,16 @@
         [Some(self.first), self.second].into_iter().flatten()
     }
 
-    fn fits(&self, room: &[usize]) -> bool {
+    fn fits(&self, copies_left: &[usize]) -> bool {
         self.moves()
-            .all(|step| step.new.is_none() || room[usize::from(step.rank)] > 0)
+            .all(|step| step.new.is_none() || copies_left[usize::from(step.rank)] > 0)
     }
 }
 
 /// Plans the moves of a round.
 ///
-/// Over all sets the change that brings most for each copy comes first, for
-/// as long as ranks have room in this round and a copy is worth its price at the
-/// skew that is left.
+/// Over all sets, the change with the greatest gain for each copy comes first, while ranks
+/// may add experts in this round and a copy reaches the threshold at the remaining skew.
 #[must_use]
 pub fn plan(
     map: &Map,
@@ -92,26 +91,27 @@
 ) -> Plan {
     let mut layers = layers(map, estimate, group.paces);
     let ranks = map.sets.first().map_or(0, Vec::len);
-    let mut room = vec![options.per_rank; ranks];
+    let mut copies_left = vec![options.copies_per_rank; ranks];
     let before = skew(&layers);
-    let least = |skew| options.price.least(group.pressure.at(skew));
+    let min_gain = |skew| options.threshold.min_gain(group.pressure.at(skew));
     let mut after = before;
     let mut moves = Vec::new();
     let mut best: Vec<_> = layers
         .iter()
-        .map(|layer| layer.best(&room, shape, least(after)))
+        .map(|layer| layer.best(&copies_left, shape, min_gain(after)))
         .collect();
-    while let Some((set, chosen)) = most(&best).filter(|(_, best)| best.gain >= least(after)) {
-        // Another set may have taken the room since this was found.
-        if chosen.fits(&room) {
+    while let Some((set, chosen)) = best_of(&best).filter(|(_, best)| best.gain >= min_gain(after))
+    {
+        // Another set may have used up the copies of a rank since this change was found.
+        if chosen.fits(&copies_left) {
             for step in chosen.moves() {
-                layers[set].carry_out(&step);
-                room[usize::from(step.rank)] -= usize::from(step.new.is_some());
+                layers[set].apply(&step);
+                copies_left[usize::from(step.rank)] -= usize::from(step.new.is_some());
                 moves.push(step);
             }
             after = skew(&layers);
         }
-        best[set] = layers[set].best(&room, shape, least(after));
+        best[set] = layers[set].best(&copies_left, shape, min_gain(after));
     }
     Plan {
         moves,
@@ -121,9 +121,9 @@
     }
 }
 
-/// Returns the mean over the sets of the busiest rank's time over that of an even
-/// share at the usual pace under `map`, in thousandths. `paces` says how many times
-/// longer than usual each rank takes.
+/// Returns the mean over the sets of the busiest rank's time relative to that of an even
+/// share at the usual pace under `map`, in thousandths. `paces` gives how many times longer
+/// than usual each rank takes.
 #[must_use]
 pub fn skew_of(map: &Map, estimate: &Estimate, paces: &[f64]) -> u32 {
     skew(&layers(map, estimate, paces))
@@ -135,7 +135,7 @@
         .collect()
 }
 
-fn most(best: &[Option<Candidate>]) -> Option<(usize, Candidate)> {
+fn best_of(best: &[Option<Candidate>]) -> Option<(usize, Candidate)> {
     let found = best
         .iter()
         .enumerate()
@@ -143,7 +143,7 @@
     found.max_by(|(_, a), (_, b)| a.gain.total_cmp(&b.gain))
 }
 
-/// Returns the mean over the sets of the busiest rank's load over the mean, in
+/// Returns the mean over the sets of the busiest rank's load relative to the mean load, in
 /// thousandths.
 fn skew(layers: &[Layer]) -> u32 {
     let ratios: Vec<_> = layers.iter().filter_map(Layer::skew).collect();
--- a/crates/rebalance/src/pressure.rs
+++ b/crates/rebalance/src/pressure.rs
@@ -1,119 +1,121 @@
-//! How near a group is to what its callers accept.
+//! Measures how near a group is to the limits that its callers accept.
 
 use std::time::Duration;
 
-/// The part of a new measurement in the mean. Passes are measured about five
-/// times a second, so that the mean follows the load within half a second and
-/// one long prompt changes it little.
-const NEW_PART: f64 = 0.3;
-/// Skew is told in thousandths.
+/// The weight of a new measurement in the moving mean. Passes are measured about five times
+/// a second: the mean follows the load within half a second, and one long prompt changes it
+/// little.
+const NEW_WEIGHT: f64 = 0.3;
+/// Skew is given in thousandths.
 const THOUSAND: f64 = 1_000.0;
 
-/// A measure of the group, with where it is far from its limit and where it is
-/// at it.
+/// The range of a measure from far below its limit to the limit.
 struct Limit {
-    easy: f64,
-    pressed: f64,
+    relaxed: f64,
+    saturated: f64,
 }
 
-/// The passes of now, in parts of the longest pause. One pass in some takes far
-/// longer than the mean, and longer passes keep slots from others, which makes
-/// passes longer still.
+/// The current pass duration, as a fraction of the longest pause. Some passes take far
+/// longer than the mean, and longer passes keep slots occupied, which makes passes longer
+/// still.
 const PASS: Limit = Limit {
-    easy: 0.25,
-    pressed: 0.5,
+    relaxed: 0.25,
+    saturated: 0.5,
 };
-/// The passes right after a turn of demand, in parts of the longest pause: streams
-/// that run then get late at once if it is exceeded.
-const TURN: Limit = Limit {
-    easy: 0.75,
-    pressed: 0.95,
+/// The pass duration right after a demand shift, as a fraction of the longest pause:
+/// streams that run then become late at once if it is exceeded.
+const SHIFT: Limit = Limit {
+    relaxed: 0.75,
+    saturated: 0.95,
 };
-/// The requests that run or wait for each slot: passes that get shorter give the
-/// slots of a full group to others sooner.
-const FILL: Limit = Limit {
-    easy: 0.6,
-    pressed: 1.0,
+/// The running and waiting requests for each slot: shorter passes free the slots of a full
+/// group sooner.
+const UTILISATION: Limit = Limit {
+    relaxed: 0.6,
+    saturated: 1.0,
 };
 
 impl Limit {
     /// Returns how near `value` is to the limit, from 0 to 1.
-    fn nearness(&self, value: f64) -> f64 {
-        ((value - self.easy) / (self.pressed - self.easy)).clamp(0.0, 1.0)
+    fn closeness(&self, value: f64) -> f64 {
+        ((value - self.relaxed) / (self.saturated - self.relaxed)).clamp(0.0, 1.0)
     }
 }
 
-/// How near a group is to what its callers accept, by the skew of its map.
+/// How near a group is to the limits that its callers accept, by the skew of its map.
 ///
-/// From measured passes and the skew under which they were made follows how long
-/// a pass with even ranks would take, and from that how long one with any other
-/// skew takes: only the experts' part of the work grows with the skew.
+/// Measured passes and the skew under which they were made give the duration of a pass with
+/// balanced ranks, and from it the duration at any other skew: only the experts' part of
+/// the work grows with the skew.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pressure {
-    pause: Option<Duration>,
+    max_pause: Option<Duration>,
     /// The experts' part of the work.
-    experts: f64,
-    /// A pass with even ranks, in seconds.
-    even: Option<f64>,
-    /// The requests that run or wait for each slot.
-    fill: f64,
-    /// The skew that a turn of demand usually leaves, in thousandths.
-    turned: Option<f64>,
+    expert_share: f64,
+    /// The duration of a pass with balanced ranks, in seconds.
+    balanced: Option<f64>,
+    /// The number of running and waiting requests for each slot.
+    utilisation: f64,
+    /// The skew that a demand shift usually leaves, in thousandths.
+    shift_skew: Option<f64>,
 }
 
 impl Pressure {
-    /// Creates the pressure of a group that has not made a pass. `experts` is
-    /// the part of the work that experts do, `pause` the longest that callers
-    /// accept between events.
+    /// Creates the pressure of a group that has not made a pass. `expert_share` is the part
+    /// of the work that experts do, `max_pause` the longest pause between events that
+    /// callers accept.
     #[must_use]
-    pub const fn new(experts: f64, pause: Option<Duration>) -> Self {
+    pub const fn new(expert_share: f64, max_pause: Option<Duration>) -> Self {
         Self {
-            pause,
-            experts,
-            even: None,
-            fill: 0.0,
-            turned: None,
+            max_pause,
+            expert_share,
+            balanced: None,
+            utilisation: 0.0,
+            shift_skew: None,
         }
     }
 
-    /// Takes a measured pass under a map of this skew, in thousandths.
+    /// Records the duration of a pass under a map of this skew, in thousandths.
     pub fn measure(&mut self, pass: Duration, skew: u32) {
-        let even = pass.as_secs_f64() / self.stretch(f64::from(skew));
-        mean(&mut self.even, even);
+        let balanced = pass.as_secs_f64() / self.slowdown(f64::from(skew));
+        update_mean(&mut self.balanced, balanced);
     }
 
-    /// Takes the skew that a turn of demand has left, in thousandths.
-    pub fn turn(&mut self, skew: u32) {
-        mean(&mut self.turned, f64::from(skew));
+    /// Records the skew that a demand shift has left, in thousandths.
+    pub fn record_shift(&mut self, skew: u32) {
+        update_mean(&mut self.shift_skew, f64::from(skew));
     }
 
-    /// Takes how many requests run or wait for each slot of the group.
-    pub const fn set_fill(&mut self, fill: f64) {
-        self.fill = fill;
+    /// Sets the number of running and waiting requests for each slot of the group.
+    pub const fn set_utilisation(&mut self, utilisation: f64) {
+        self.utilisation = utilisation;
     }
 
     /// Returns how near the group is to its limits under a map of this skew, in
-    /// thousandths: from 0, far from them, to 1, also while that is not known.
+    /// thousandths: from 0, far from them, to 1, which also applies while no pass was
+    /// measured.
     #[must_use]
     pub fn at(&self, skew: u32) -> f64 {
-        let pause = self.pause.filter(|pause| !pause.is_zero());
-        let Some((even, pause)) = self.even.zip(pause) else {
+        let max_pause = self.max_pause.filter(|max_pause| !max_pause.is_zero());
+        let Some((balanced, max_pause)) = self.balanced.zip(max_pause) else {
             return 1.0;
         };
-        let part = |skew| even * self.stretch(skew) / pause.as_secs_f64();
-        let now = PASS.nearness(part(f64::from(skew)));
-        let turn = self.turned.map_or(0.0, |skew| TURN.nearness(part(skew)));
-        now.max(turn).max(FILL.nearness(self.fill))
+        let fraction = |skew| balanced * self.slowdown(skew) / max_pause.as_secs_f64();
+        let now = PASS.closeness(fraction(f64::from(skew)));
+        let shift = self
+            .shift_skew
+            .map_or(0.0, |skew| SHIFT.closeness(fraction(skew)));
+        now.max(shift).max(UTILISATION.closeness(self.utilisation))
     }
 
-    /// Returns by how much a skew lengthens a pass.
-    fn stretch(&self, skew: f64) -> f64 {
-        1.0 - self.experts + self.experts * (skew / THOUSAND).max(1.0)
+    /// Returns the factor by which a skew lengthens a pass.
+    fn slowdown(&self, skew: f64) -> f64 {
+        1.0 - self.expert_share + self.expert_share * (skew / THOUSAND).max(1.0)
     }
 }
 
-/// Moves a mean towards a new value, or begins with it.
-fn mean(known: &mut Option<f64>, new: f64) {
+/// Moves a mean towards a new value, or starts it with that value.
+fn update_mean(known: &mut Option<f64>, new: f64) {
     let mean = known.get_or_insert(new);
-    *mean += NEW_PART * (new - *mean);
+    *mean += NEW_WEIGHT * (new - *mean);
 }
--- a/crates/rebalance/src/rank.rs
+++ b/crates/rebalance/src/rank.rs
@@ -1,43 +1,43 @@
-//! The decisions of the agent beside one rank, without input or output.
+//! The decisions of the agent beside one rank, without I/O.
 
 use cactusnotch_base::clock::Instant;
 
 use crate::codec::Order;
 use crate::coordinator::{Coordinator, Event};
 use crate::member::Member;
-use crate::message::{Phase, Standing};
+use crate::message::{Phase, Status};
 use crate::plan;
 use crate::state::{Maps, Place};
 use crate::{Pace, Shape};
 
-/// The decisions of the agent beside one rank: its own part in each round,
-/// and the lead if it is rank 0.
+/// The decisions of the agent beside one rank: its own part in each round, and those of the
+/// leader if it is rank 0.
 #[derive(Debug, Default)]
 pub struct Rank {
-    /// Its own part.
+    /// The decisions for its own endpoint.
     pub member: Member,
-    /// The lead, at rank 0.
+    /// The decisions of the leader, at rank 0.
     pub coordinator: Option<Coordinator>,
 }
 
-/// What follows from a look at the endpoint.
+/// The results of one step.
 #[derive(Debug, Default, PartialEq)]
 pub struct Step {
     /// The order that the endpoint needs.
     pub order: Option<Order>,
-    /// What happened, for the log.
+    /// An event for the log.
     pub event: Option<Event>,
-    /// Whether the other ranks have to be told the round.
+    /// Whether the round has to be announced to the other ranks.
     pub announce: bool,
     /// The rank that is to hold the group at this rank's endpoint, and before which pass.
-    pub ask: Option<(u16, u64)>,
-    /// The ranks that have to be told the round themselves: to say that they are there, or
-    /// since they did not say that they have heard of it.
-    pub call: Vec<u16>,
+    pub hold_request: Option<(u16, u64)>,
+    /// The ranks that have to get the round directly: to confirm that they are responsive,
+    /// or because they have not acknowledged it.
+    pub notify: Vec<u16>,
 }
 
 impl Rank {
-    /// Takes what the endpoint says of its rank and maps.
+    /// Records the rank and maps that the endpoint reports.
     pub fn observe(&mut self, place: &Place, maps: &Maps) {
         self.member.observe(place, maps);
         let leads = self.coordinator.as_ref();
@@ -46,8 +46,8 @@
         }
     }
 
-    /// Takes the lead if this is rank 0; returns whether that is new. `term`
-    /// is a number that no other life of this process has.
+    /// Starts to lead if this is rank 0; returns whether that is new. `term` is a number
+    /// that is unique to this incarnation of the process.
     pub fn lead(&mut self, place: &Place, shape: Shape, options: plan::Options, term: u64) -> bool {
         let new = place.rank == 0 && self.coordinator.is_none();
         if new {
@@ -56,47 +56,47 @@
         new
     }
 
-    /// Returns the pace of the slowest rank, as far as this one leads.
+    /// Returns the pace of the slowest rank, or the default if this rank does not lead.
     #[must_use]
     pub fn slowest(&self) -> Pace {
         let lead = self.coordinator.as_ref();
         lead.map_or_else(Pace::default, Coordinator::slowest)
     }
 
-    /// Tells whether the leader has to be told which experts this rank holds.
+    /// Returns whether the leader needs a report of the experts that this rank holds.
     #[must_use]
-    pub fn tells_held(&self) -> bool {
+    pub fn reports_held(&self) -> bool {
         let lead = self
             .coordinator
             .as_ref()
             .is_some_and(|lead| lead.map().is_none());
-        lead || self.member.known().is_none() || self.member.is_asked()
+        lead || self.member.map_version().is_none() || self.member.is_held_requested()
     }
 
-    /// Goes on from a fresh look at the endpoint.
-    pub fn step(&mut self, mut own: Standing, now: Instant) -> Step {
+    /// Advances with a fresh state of the endpoint.
+    pub fn step(&mut self, mut own: Status, now: Instant) -> Step {
         let maps = own.maps;
         let mut step = Step::default();
         if let Some(coordinator) = &mut self.coordinator {
             own.term = Some(coordinator.round().term);
-            coordinator.hear(own, now);
+            coordinator.record(own, now);
             let before = (coordinator.round().version, coordinator.round().phase);
             (step.order, step.event) = coordinator.step(&maps, now);
             let round = coordinator.round();
-            // Only the rank that has held the group is told that it is held.
-            let meets = matches!(round.phase, Phase::Meet { .. });
-            step.announce = before != (round.version, round.phase) && !meets;
+            // Only the rank that has held the group is notified of the hold.
+            let confirming = matches!(round.phase, Phase::Meet { .. });
+            step.announce = before != (round.version, round.phase) && !confirming;
             let round = round.clone();
-            step.ask = coordinator.ask(&maps, now);
-            step.call = coordinator.calls(now).to_vec();
-            step.call.extend(coordinator.retell(now));
+            step.hold_request = coordinator.hold_request(&maps, now);
+            step.notify = coordinator.confirmation_targets(now).to_vec();
+            step.notify.extend(coordinator.resend_targets(now));
             if let Some((version, map)) = coordinator.map()
-                && self.member.known() != Some(version)
+                && self.member.map_version() != Some(version)
                 && maps.current == version
             {
-                self.member.know(version, map.clone());
+                self.member.set_map(version, map.clone());
             }
-            self.member.take(round);
+            self.member.update_round(round);
         }
         if step.order.is_none() {
             step.order = self.member.order(&maps);
--- a/crates/rebalance/src/state.rs
+++ b/crates/rebalance/src/state.rs
@@ -1,4 +1,4 @@
-//! What an agent reads of its own endpoint.
+//! The state that an agent reads from its own endpoint.
 
 use cactusnotch_derive::{message, record};
 
@@ -6,25 +6,25 @@
 
 use crate::Pace;
 
-/// A rank of a group, as its endpoint names it.
+/// The position of a rank in its group, as its endpoint reports it.
 #[message]
 #[derive(Eq)]
 pub struct Place {
     /// The group's name.
     pub group: String,
-    /// The number of the group's present life; a group that has formed anew
-    /// has another and begins with map 0.
+    /// The epoch of the group. A group that has formed anew has another one and
+    /// begins with map 0.
     pub epoch: u64,
     /// The rank.
     pub rank: u16,
-    /// The ranks of the group.
+    /// The number of ranks of the group.
     pub size: u16,
 }
 
 impl Place {
-    /// Tells whether `other` is a rank of the same life of the same group.
+    /// Returns whether `other` is a rank of the same group in the same epoch.
     #[must_use]
-    pub fn is_beside(&self, other: &Self) -> bool {
+    pub fn shares_group(&self, other: &Self) -> bool {
         (&self.group, self.epoch) == (&other.group, other.epoch)
     }
 }
@@ -33,45 +33,45 @@
 #[message]
 #[derive(Copy, Eq, Default)]
 pub struct Maps {
-    /// The last pass that was begun.
+    /// The last pass that began.
     pub step: u64,
     /// The version of the map in force.
     pub current: u64,
-    /// The version whose experts are loaded, beside the one in force.
+    /// The version whose experts are loaded beside those in force.
     pub prepared: Option<u64>,
-    /// The version that a coming pass switches to.
+    /// The version that a later pass will switch to.
     pub armed: Option<u64>,
-    /// The pass that the group does not begin until it is let go.
+    /// The pass that the group does not begin until it is released.
     pub held: Option<u64>,
 }
 
-/// What an agent reads of its own endpoint.
+/// The state that an agent reads from its own endpoint.
 #[record]
 pub struct State {
-    /// The rank that the endpoint is, if it is one.
+    /// The rank that the endpoint is, if it belongs to a group.
     pub place: Option<Place>,
-    /// Whether the group takes requests.
+    /// Whether the group accepts requests.
     pub open: bool,
     /// The maps of this rank.
     pub maps: Maps,
-    /// When the endpoint started, if it says so.
+    /// The start time of the endpoint, if reported.
     pub born: Option<Born>,
     /// The number of orders that the endpoint has begun.
     pub sequence: u64,
-    /// The requests that run.
+    /// The number of running requests.
     pub running: u32,
-    /// The requests that wait.
+    /// The number of waiting requests.
     pub waiting: u32,
     /// How slow the rank is.
     pub pace: Pace,
-    /// The part of the memory for prompts that is in use, in thousandths.
+    /// The fraction of the memory for prompts that is in use, in thousandths.
     pub memory: u16,
 }
 
 /// How often this rank's requests have chosen each expert.
 #[record]
 pub struct Counts {
-    /// The group's life that they belong to.
+    /// The epoch of the group that the counts belong to.
     pub epoch: u64,
     /// The counts since the rank's start, set by set.
     pub counts: Vec<u64>,
--- a/crates/rebalance/tests/again.rs
+++ b/crates/rebalance/tests/again.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock;
-use cactusnotch_rebalance::again;
+use cactusnotch_rebalance::resend;
 
 const HOP: Duration = Duration::from_millis(1);
 
@@ -18,7 +18,7 @@
     let (mut told, mut words, mut now) = (Some(base), 1, base);
     while now < base + time {
         now += HOP + HOP;
-        if again::is_due(told, now) {
+        if resend::is_due(told, now) {
             (told, words) = (Some(now), words + 1);
         }
     }
@@ -34,6 +34,9 @@
 #[test]
 fn a_word_that_was_lost_is_said_again_when_the_round_is_told_again() {
     let base = clock::now();
-    assert!(!again::is_due(None, base), "it is said anyway");
-    assert!(again::is_due(Some(base), base + Duration::from_millis(200)));
+    assert!(!resend::is_due(None, base), "it is said anyway");
+    assert!(resend::is_due(
+        Some(base),
+        base + Duration::from_millis(200)
+    ));
 }
--- a/crates/rebalance/tests/cadence.rs
+++ b/crates/rebalance/tests/cadence.rs
@@ -19,10 +19,10 @@
     };
     let mut now = start;
     while now + LOOK < start + time {
-        cadence.look(step(now), now);
+        cadence.observe(step(now), now);
         now += LOOK;
     }
-    cadence.look(step(now), now);
+    cadence.observe(step(now), now);
     now
 }
 
@@ -30,18 +30,22 @@
 fn the_mean_of_steady_passes_is_found() {
     let mut cadence = Cadence::default();
     looks(&mut cadence, clock::now(), ms(80), ms(3_000));
-    assert!((70..=90).contains(&cadence.pass()), "{} ms", cadence.pass());
+    assert!(
+        (70..=90).contains(&cadence.pass_ms()),
+        "{} ms",
+        cadence.pass_ms()
+    );
 }
 
 #[test]
 fn a_group_that_stands_still_has_a_pass_that_grows() {
     let mut cadence = Cadence::default();
     let last = looks(&mut cadence, clock::now(), ms(80), ms(3_000));
-    assert!(cadence.pass_with_work(last) < 100);
+    assert!(cadence.pass_ms_under_load(last) < 100);
     // Looks go on and show no further pass.
     for late in [300, 500, 900, 2_000] {
-        cadence.look(37, last + ms(late));
-        let pass = u64::from(cadence.pass_with_work(last + ms(late)));
+        cadence.observe(37, last + ms(late));
+        let pass = u64::from(cadence.pass_ms_under_load(last + ms(late)));
         assert!(
             pass + 200 >= late,
             "{pass} ms after {late} ms without a pass"
--- a/crates/rebalance/tests/coordinator.rs
+++ b/crates/rebalance/tests/coordinator.rs
@@ -5,16 +5,16 @@
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_rebalance::codec::Order;
 use cactusnotch_rebalance::coordinator::{Coordinator, Event};
-use cactusnotch_rebalance::message::{Phase, Standing};
+use cactusnotch_rebalance::message::{Phase, Status};
 use cactusnotch_rebalance::plan;
-use cactusnotch_rebalance::price::Price;
 use cactusnotch_rebalance::state::{Maps, Place};
+use cactusnotch_rebalance::threshold::Threshold;
 use cactusnotch_rebalance::{Pace, Shape};
 
 /// The price of a copy: next to nothing, so that rounds follow each other.
-const PRICE: Price = Price {
-    easy: 0.01,
-    pressed: 0.01,
+const THRESHOLD: Threshold = Threshold {
+    relaxed: 0.01,
+    saturated: 0.01,
     copy: Duration::from_secs(1),
 };
 const SHAPE: Shape = Shape {
@@ -35,9 +35,9 @@
     }
 }
 
-fn standing(rank: u16, term: u64, maps: Maps) -> Standing {
+fn status(rank: u16, term: u64, maps: Maps) -> Status {
     let held = if rank == 0 { vec![0, 2] } else { vec![1, 3] };
-    Standing {
+    Status {
         place: place(rank),
         open: true,
         maps,
@@ -53,9 +53,9 @@
 
 fn coordinator(term: u64) -> Coordinator {
     let options = plan::Options {
-        per_rank: 2,
-        price: PRICE,
-        pause: None,
+        copies_per_rank: 2,
+        threshold: THRESHOLD,
+        max_pause: None,
     };
     Coordinator::new(place(0), SHAPE, options, term)
 }
@@ -64,9 +64,9 @@
 fn begin(term: u64, now: Instant) -> (Coordinator, u64) {
     let mut lead = coordinator(term);
     for rank in 0..2 {
-        lead.hear(standing(rank, term, Maps::default()), now);
+        lead.record(status(rank, term, Maps::default()), now);
     }
-    lead.count(&place(0), &[50.0], &[255, 10, 10, 10], now);
+    lead.add_counts(&place(0), &[50.0], &[255, 10, 10, 10], now);
     let (order, event) = lead.step(&Maps::default(), now);
     assert_eq!(order, None);
     assert!(matches!(event, Some(Event::Began(_))), "{event:?}");
@@ -86,9 +86,9 @@
 fn words_from_before_this_life_do_not_count() {
     let now = clock::now();
     let mut lead = coordinator(9);
-    lead.hear(standing(0, 9, Maps::default()), now);
-    lead.hear(standing(1, 8, Maps::default()), now);
-    lead.count(&place(0), &[50.0], &[255, 10, 10, 10], now);
+    lead.record(status(0, 9, Maps::default()), now);
+    lead.record(status(1, 8, Maps::default()), now);
+    lead.add_counts(&place(0), &[50.0], &[255, 10, 10, 10], now);
     let held = Maps {
         held: Some(5),
         ..Maps::default()
@@ -105,16 +105,24 @@
         prepared: Some(version),
         ..Maps::default()
     };
-    lead.hear(standing(0, 3, loaded), now);
+    lead.record(status(0, 3, loaded), now);
     assert_eq!(lead.step(&loaded, now), (None, None));
-    lead.hear(standing(1, 3, loaded), now);
-    assert_eq!(lead.ask(&loaded, now), None, "not before it has seen that");
+    lead.record(status(1, 3, loaded), now);
+    assert_eq!(
+        lead.hold_request(&loaded, now),
+        None,
+        "not before it has seen that"
+    );
     assert_eq!(lead.step(&loaded, now), (None, None));
-    let asked = lead.ask(&loaded, now);
+    let asked = lead.hold_request(&loaded, now);
     assert!(matches!(asked, Some((1, step)) if step > 8), "{asked:?}");
-    assert_eq!(lead.ask(&loaded, now), None, "the rank is given some time");
+    assert_eq!(
+        lead.hold_request(&loaded, now),
+        None,
+        "the rank is given some time"
+    );
     let later = now + Duration::from_millis(70);
-    assert!(lead.ask(&loaded, later).is_some());
+    assert!(lead.hold_request(&loaded, later).is_some());
     assert_eq!(
         lead.round().phase,
         Phase::Commit,
@@ -132,10 +140,10 @@
         ..Maps::default()
     };
     for rank in 0..2 {
-        lead.hear(standing(rank, 3, loaded), now);
+        lead.record(status(rank, 3, loaded), now);
     }
     lead.step(&loaded, now);
-    assert!(lead.ask(&loaded, now).is_some());
+    assert!(lead.hold_request(&loaded, now).is_some());
     let held = Maps {
         held: Some(12),
         ..loaded
@@ -149,14 +157,14 @@
 fn ranks_are_armed_once_the_one_that_has_held_the_group_is_there() {
     let now = clock::now();
     let (mut lead, maps) = held(now);
-    let there = |met| Standing {
+    let there = |met| Status {
         met,
-        ..standing(1, 3, Maps { held: None, ..maps })
+        ..status(1, 3, Maps { held: None, ..maps })
     };
-    lead.hear(there(Some(11)), now);
+    lead.record(there(Some(11)), now);
     lead.step(&maps, now);
     assert_eq!(lead.round().phase, Phase::Meet { step: 12 }, "another pass");
-    lead.hear(there(Some(12)), now);
+    lead.record(there(Some(12)), now);
     let version = lead.round().version;
     let arm = Order::Arm { version, step: 12 };
     assert_eq!(lead.step(&maps, now), (Some(arm), None));
@@ -177,13 +185,16 @@
 fn a_group_is_let_go_if_the_rank_that_has_held_it_is_silent() {
     let now = clock::now();
     let (mut lead, maps) = held(now);
-    assert_eq!(lead.calls(now), [1]);
-    assert!(lead.calls(now).is_empty());
-    assert_eq!(lead.calls(now + Duration::from_millis(30)), [1]);
+    assert_eq!(lead.confirmation_targets(now), [1]);
+    assert!(lead.confirmation_targets(now).is_empty());
+    assert_eq!(
+        lead.confirmation_targets(now + Duration::from_millis(30)),
+        [1]
+    );
     let later = now + Duration::from_millis(200);
     // First its own rank gives the map up, so that nobody can arm it any more.
     let (order, event) = lead.step(&maps, later);
-    assert_eq!(event, Some(Event::LetGo(12)));
+    assert_eq!(event, Some(Event::Released(12)));
     let version = lead.round().version;
     let Some(Order::Prepare { version: anew, .. }) = order else {
         panic!("{order:?}");
@@ -219,13 +230,13 @@
     let (mut lead, version) = begin(3, now);
     let later = now + Duration::from_secs(4);
     for rank in 0..2 {
-        lead.hear(standing(rank, 3, Maps::default()), later);
+        lead.record(status(rank, 3, Maps::default()), later);
     }
     assert_eq!(
         lead.step(&Maps::default(), later).1,
-        Some(Event::GivenUp(version))
+        Some(Event::Abandoned(version))
     );
-    lead.count(&place(0), &[50.0], &[255, 10, 10, 10], later);
+    lead.add_counts(&place(0), &[50.0], &[255, 10, 10, 10], later);
     let (_, event) = lead.step(&Maps::default(), later);
     assert!(matches!(event, Some(Event::Began(_))));
     assert!(lead.round().version > version + 1_000_000);
@@ -242,9 +253,9 @@
         ..Maps::default()
     };
     for rank in 0..2 {
-        lead.hear(standing(rank, 5, loaded), now);
+        lead.record(status(rank, 5, loaded), now);
     }
-    assert_eq!(lead.step(&loaded, now).1, Some(Event::Found(5)));
+    assert_eq!(lead.step(&loaded, now).1, Some(Event::HoldFound(5)));
     assert_eq!(lead.round().version, 7);
     let arm = Order::Arm {
         version: 7,
@@ -269,9 +280,9 @@
         held: Some(5),
         ..Maps::default()
     };
-    lead.hear(standing(0, 5, held), now);
-    lead.hear(
-        standing(
+    lead.record(status(0, 5, held), now);
+    lead.record(
+        status(
             1,
             5,
             Maps {
@@ -283,7 +294,7 @@
         now,
     );
     let (order, event) = lead.step(&held, now);
-    assert_eq!(event, Some(Event::Found(5)));
+    assert_eq!(event, Some(Event::HoldFound(5)));
     assert_eq!(order, Some(Order::Go { step: 5 }));
 }
 
@@ -292,9 +303,9 @@
     let now = clock::now();
     let mut lead = coordinator(7);
     for rank in 0..2 {
-        lead.hear(standing(rank, 7, Maps::default()), now);
+        lead.record(status(rank, 7, Maps::default()), now);
     }
-    lead.count(&place(0), &[50.0], &[255, 250, 245, 250], now);
+    lead.add_counts(&place(0), &[50.0], &[255, 250, 245, 250], now);
     assert_eq!(lead.step(&Maps::default(), now), (None, None));
 }
 
@@ -306,9 +317,9 @@
     for _ in 0..4 {
         now += Duration::from_millis(130);
         for rank in 0..2 {
-            lead.hear(standing(rank, 7, Maps::default()), now);
+            lead.record(status(rank, 7, Maps::default()), now);
         }
-        lead.count(&place(0), &[50.0], &[10, 10, 10, 255], now);
+        lead.add_counts(&place(0), &[50.0], &[10, 10, 10, 255], now);
         if let (_, Some(event)) = lead.step(&Maps::default(), now) {
             assert!(matches!(event, Event::Began(_)), "{event:?}");
             break;
--- a/crates/rebalance/tests/datagrams.rs
+++ b/crates/rebalance/tests/datagrams.rs
@@ -8,7 +8,9 @@
 use cactusnotch_position::{Era, Position};
 use cactusnotch_rebalance::estimate::pack;
 use cactusnotch_rebalance::map::Move;
-use cactusnotch_rebalance::message::{Ask, Choices, Datagram, Part, Phase, Relay, Round, Standing};
+use cactusnotch_rebalance::message::{
+    Choices, Datagram, HoldRequest, Part, Phase, Relay, Round, Status,
+};
 use cactusnotch_rebalance::state::{Maps, Place};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -46,7 +48,7 @@
     };
     vec![
         Datagram::Seek(place()),
-        Datagram::Standing(Standing {
+        Datagram::Standing(Status {
             place: place(),
             open: true,
             maps: Maps::default(),
@@ -73,7 +75,7 @@
             phase: Phase::Arm { step: 9 },
             asks_held: false,
         }),
-        Datagram::Ask(Ask {
+        Datagram::Ask(HoldRequest {
             place: place(),
             endpoint: agent(),
             sequence: 0,
--- a/crates/rebalance/tests/plan.rs
+++ b/crates/rebalance/tests/plan.rs
@@ -6,7 +6,7 @@
 use cactusnotch_rebalance::estimate::{Estimate, pack};
 use cactusnotch_rebalance::plan::{Group, Options, Plan, plan};
 use cactusnotch_rebalance::pressure::Pressure;
-use cactusnotch_rebalance::price::Price;
+use cactusnotch_rebalance::threshold::Threshold;
 use cactusnotch_rebalance::{Map, Shape};
 use proptest::prelude::*;
 
@@ -36,15 +36,15 @@
 }
 
 /// Options under which each copy has to take `gain` mean loads off.
-fn options(per_rank: usize, gain: f64) -> Options {
+fn options(copies_per_rank: usize, gain: f64) -> Options {
     Options {
-        per_rank,
-        price: Price {
-            easy: gain,
-            pressed: gain,
+        copies_per_rank,
+        threshold: Threshold {
+            relaxed: gain,
+            saturated: gain,
             copy: Duration::from_secs(1),
         },
-        pause: None,
+        max_pause: None,
     }
 }
 
@@ -108,12 +108,12 @@
     fn plans_keep_the_map_complete_and_within_bounds(
         counts in proptest::collection::vec(0_u64..100_000, 2 * 16),
         ranks in 2_usize..6,
-        per_rank in 1_usize..4,
+        copies_per_rank in 1_usize..4,
     ) {
         let shape = shape(2, 16, 16 / ranks + 2);
         let estimate = estimate(&shape, &counts);
         let mut map = dealt(&shape, ranks);
-        let options = options(per_rank, 0.01);
+        let options = options(copies_per_rank, 0.01);
         for _ in 0..4 {
             let made = even(&map, &estimate, &shape, &options);
             prop_assert!(made.after <= made.before);
@@ -122,7 +122,7 @@
                 prop_assert!(map.apply(step));
                 new[usize::from(step.rank)] += usize::from(step.new.is_some());
             }
-            prop_assert!(new.iter().all(|&new| new <= per_rank));
+            prop_assert!(new.iter().all(|&new| new <= copies_per_rank));
             prop_assert!(map.is_complete(shape.experts, shape.places));
         }
     }
--- a/crates/rebalance/tests/price.rs
+++ b/crates/rebalance/tests/price.rs
@@ -12,13 +12,13 @@
 use cactusnotch_rebalance::estimate::{Estimate, pack};
 use cactusnotch_rebalance::plan::{Group, Options, plan};
 use cactusnotch_rebalance::pressure::Pressure;
-use cactusnotch_rebalance::price::Price;
+use cactusnotch_rebalance::threshold::Threshold;
 use cactusnotch_rebalance::{Map, Shape};
 
 const PAUSE: Duration = Duration::from_millis(120);
-const PRICE: Price = Price {
-    easy: 6.0,
-    pressed: 0.25,
+const THRESHOLD: Threshold = Threshold {
+    relaxed: 6.0,
+    saturated: 0.25,
     copy: Duration::from_millis(50),
 };
 /// An even map, in thousandths.
@@ -39,11 +39,11 @@
     assert!(near(pressure(30).at(EVEN), 0.0));
     assert!(near(pressure(80).at(EVEN), 1.0));
     assert!(
-        near(PRICE.least(0.0), 0.3),
+        near(THRESHOLD.min_gain(0.0), 0.3),
         "six mean loads a second, for 50 ms"
     );
-    assert!(near(PRICE.least(1.0), 0.0125));
-    assert!(PRICE.least(0.5) < PRICE.least(0.2));
+    assert!(near(THRESHOLD.min_gain(1.0), 0.0125));
+    assert!(THRESHOLD.min_gain(0.5) < THRESHOLD.min_gain(0.2));
 }
 
 #[test]
@@ -66,7 +66,7 @@
 fn turns_that_leave_much_skew_press_a_group_with_short_passes() {
     let mut group = pressure(40);
     let calm = group.at(EVEN);
-    group.turn(3_100);
+    group.record_shift(3_100);
     // 40 ms grow to 111 ms right after a turn.
     assert!(calm < 0.6 && group.at(EVEN) > 0.85, "{calm}");
 }
@@ -74,7 +74,7 @@
 #[test]
 fn a_full_group_is_pressed_however_short_its_passes_are() {
     let mut group = pressure(30);
-    group.set_fill(1.2);
+    group.set_utilisation(1.2);
     assert!(near(group.at(EVEN), 1.0));
 }
 
@@ -86,7 +86,7 @@
         experts: 16,
         places: 8,
         spare: 8,
-        copy: PRICE.copy,
+        copy: THRESHOLD.copy,
         expert_part: 850,
     };
     let rank = |rank: u16| (rank * 4..rank * 4 + 4).collect::<Vec<u16>>();
@@ -98,9 +98,9 @@
     let (units, bytes) = pack(&counts, 16);
     estimate.add(&units, &bytes, clock::now());
     let options = Options {
-        per_rank: 4,
-        price: PRICE,
-        pause: Some(PAUSE),
+        copies_per_rank: 4,
+        threshold: THRESHOLD,
+        max_pause: Some(PAUSE),
     };
     let group = Group {
         pressure,
--- a/crates/rebalance/tests/relay.rs
+++ b/crates/rebalance/tests/relay.rs
@@ -15,7 +15,7 @@
 use cactusnotch_rebalance::estimate::pack;
 use cactusnotch_rebalance::map::Move;
 use cactusnotch_rebalance::message::{Choices, Datagram, Part, Phase, Relay, Relayed, Round};
-use cactusnotch_rebalance::relay::{self, Branch, Gathering, Peer, Telling};
+use cactusnotch_rebalance::relay::{self, Aggregation, Branch, Broadcast, Peer};
 use cactusnotch_rebalance::state::Place;
 use serde_bytes::ByteBuf;
 
@@ -166,16 +166,16 @@
     let map = map(size);
     let mut links = vec![Link::new(link); usize::from(size)];
     let mut known = vec![0; usize::from(size)];
-    let (base, mut telling) = (clock::now(), Telling::new(link));
+    let (base, mut broadcast) = (clock::now(), Broadcast::new(link));
     let (mut last, mut told) = (Duration::ZERO, 0);
     for look in 0..50 {
         let now = LOOK * look;
         while told < SETS
-            && let Some(set) = telling.next(SETS, base + now)
+            && let Some(set) = broadcast.next(SETS, base + now)
         {
             told += 1;
             let (sent, arrivals) = spread(&mut links, size, &part(&map, set), now);
-            telling.sent(sent);
+            broadcast.sent(sent);
             for (known, at) in known.iter_mut().zip(&arrivals) {
                 *known += usize::from(at.is_some());
             }
@@ -260,34 +260,34 @@
 #[test]
 fn a_relay_adds_up_what_its_branch_counts() {
     let now = clock::now();
-    let mut gathering = Gathering::default();
+    let mut aggregation = Aggregation::default();
     let (units, counts) = pack(&[10, 20, 255, 0, 510, 254], 3);
-    gathering.add(&place(96), &units, &counts, now);
+    aggregation.add(&place(96), &units, &counts, now);
     let own = vec![1; 6];
     assert_eq!(
-        gathering.take(&place(96), own.clone()),
+        aggregation.take(&place(96), own.clone()),
         own,
         "no relay adds nothing up"
     );
-    gathering.open(now);
-    gathering.add(&place(96), &units, &counts, now);
-    gathering.add(&place(96), &units, &counts, now);
-    let sums = gathering.take(&place(96), own.clone());
+    aggregation.activate(now);
+    aggregation.add(&place(96), &units, &counts, now);
+    aggregation.add(&place(96), &units, &counts, now);
+    let sums = aggregation.take(&place(96), own.clone());
     assert_eq!(sums, [21, 41, 511, 1, 1_021, 509]);
-    assert_eq!(gathering.take(&place(96), own.clone()), own, "told once");
+    assert_eq!(aggregation.take(&place(96), own.clone()), own, "told once");
     let former = Place {
         epoch: 0,
         ..place(96)
     };
-    gathering.add(&former, &units, &counts, now);
+    aggregation.add(&former, &units, &counts, now);
     assert_eq!(
-        gathering.take(&place(96), own.clone()),
+        aggregation.take(&place(96), own.clone()),
         own,
         "of a former life"
     );
-    gathering.add(&place(96), &units, &counts, now + relay::RELAY_TIME);
+    aggregation.add(&place(96), &units, &counts, now + relay::RELAY_LIFETIME);
     assert_eq!(
-        gathering.take(&place(96), own.clone()),
+        aggregation.take(&place(96), own.clone()),
         own,
         "no relay any more"
     );
--- a/crates/rebalance/tests/slow_rank.rs
+++ b/crates/rebalance/tests/slow_rank.rs
@@ -11,7 +11,7 @@
 use cactusnotch_rebalance::estimate::{Estimate, pack};
 use cactusnotch_rebalance::plan::{Group, Options, Plan, plan, skew_of};
 use cactusnotch_rebalance::pressure::Pressure;
-use cactusnotch_rebalance::price::Price;
+use cactusnotch_rebalance::threshold::Threshold;
 use cactusnotch_rebalance::{Map, Shape};
 
 const RANKS: usize = 8;
@@ -30,13 +30,13 @@
     expert_part: 850,
 };
 const OPTIONS: Options = Options {
-    per_rank: 3,
-    price: Price {
-        easy: 0.25,
-        pressed: 0.25,
+    copies_per_rank: 3,
+    threshold: Threshold {
+        relaxed: 0.25,
+        saturated: 0.25,
         copy: SHAPE.copy,
     },
-    pause: None,
+    max_pause: None,
 };
 
 fn number(value: usize) -> u16 {
