--- a/crates/rebalance/tests/world/mod.rs
+++ b/crates/rebalance/tests/world/mod.rs
@@ -8,11 +8,11 @@
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_rebalance::codec::Order;
 use cactusnotch_rebalance::coordinator::Event;
-use cactusnotch_rebalance::message::{Ask, Datagram, Part, Round, Standing};
+use cactusnotch_rebalance::message::{Datagram, HoldRequest, Part, Round, Status};
 use cactusnotch_rebalance::plan;
-use cactusnotch_rebalance::price::Price;
-use cactusnotch_rebalance::rescue::Rescue;
 use cactusnotch_rebalance::state::Place;
+use cactusnotch_rebalance::takeover::Takeover;
+use cactusnotch_rebalance::threshold::Threshold;
 use cactusnotch_rebalance::{Map, Pace, Rank, Shape};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -27,9 +27,9 @@
 /// The ticks of a pass.
 const PASS: u64 = 6;
 /// The price of a copy: next to nothing, so that rounds follow each other.
-const PRICE: Price = Price {
-    easy: 0.01,
-    pressed: 0.01,
+const THRESHOLD: Threshold = Threshold {
+    relaxed: 0.01,
+    saturated: 0.01,
     copy: Duration::from_secs(1),
 };
 const SHAPE: Shape = Shape {
@@ -74,7 +74,7 @@
 
 struct Agent {
     rank: Rank,
-    rescue: Rescue,
+    takeover: Takeover,
     /// When the leader was heard last.
     heard: u64,
     /// The rank that asked how this one stands, and when.
@@ -116,7 +116,7 @@
             .collect();
         let agent = |_| Agent {
             rank: Rank::default(),
-            rescue: Rescue::default(),
+            takeover: Takeover::default(),
             finisher: None,
             heard: 0,
             away: 0,
@@ -173,7 +173,7 @@
             let away = self.tick + self.rng.random_range(5..200);
             self.agents[at] = Agent {
                 rank: Rank::default(),
-                rescue: Rescue::default(),
+                takeover: Takeover::default(),
                 finisher: None,
                 heard: 0,
                 away,
@@ -307,36 +307,36 @@
         let agent = &mut self.agents[to].rank;
         let mut answers = Vec::new();
         match datagram {
-            Datagram::Standing(standing) => {
-                self.agents[to].rescue.hear(&standing);
+            Datagram::Standing(status) => {
+                self.agents[to].takeover.record(&status);
                 let agent = &mut self.agents[to].rank;
                 let Some(lead) = &mut agent.coordinator else {
                     return;
                 };
-                let rank = usize::from(standing.place.rank);
+                let rank = usize::from(status.place.rank);
                 answers.push((rank, Datagram::Round(lead.round().clone())));
                 if let Some((version, map)) = lead.map()
-                    && standing.maps.current == version
-                    && standing.known != Some(version)
+                    && status.maps.current == version
+                    && status.known != Some(version)
                 {
                     answers.extend(
                         parts(lead.place(), version, map).map(|part| (rank, Datagram::Part(part))),
                     );
                 }
-                lead.hear(standing, now);
+                lead.record(status, now);
             }
             Datagram::Round(round) => {
-                agent.member.take(round);
+                agent.member.update_round(round);
                 self.agents[to].heard = self.tick;
             }
-            Datagram::Finish(round) => agent.member.take(round),
+            Datagram::Finish(round) => agent.member.update_round(round),
             Datagram::Ask(ask) => {
                 let order = Order::Hold { step: ask.step };
                 let _: bool = self.give(to, 0, order);
                 return;
             }
             Datagram::Part(part) => {
-                let _: bool = agent.member.learn(part);
+                let _: bool = agent.member.add_part(part);
             }
             Datagram::Seek(_)
             | Datagram::Choices(_)
@@ -370,36 +370,36 @@
         let maps = self.endpoints[at].report(self.step);
         let (place, now, slowness) = (self.place(at), self.now(), self.pace(at));
         let agent = &mut self.agents[at];
-        let standing = Standing {
+        let status = Status {
             place: place.clone(),
             open: true,
             maps,
             pace: slowness,
             fill: 50,
             term: agent.rank.member.term(),
-            met: agent.rank.member.met(),
-            heard: agent.rank.member.heard(),
-            known: agent.rank.member.known(),
+            met: agent.rank.member.held_step(),
+            heard: agent.rank.member.progress(),
+            known: agent.rank.member.map_version(),
             held: None,
         };
         let round = agent.rank.member.round().cloned();
         let silence = TICK * u32::try_from(self.tick - agent.heard).expect("a run is short");
         let silent = agent
-            .rescue
-            .look(&place, round.as_ref(), &maps, silence, now);
-        agent.rescue.hear(&standing);
+            .takeover
+            .observe(&place, round.as_ref(), &maps, silence, now);
+        agent.takeover.record(&status);
         let asked = agent.finisher.filter(|&(_, tick)| self.tick - tick < 50);
         if let Some((finisher, _)) = asked {
-            self.send(finisher, Datagram::Standing(standing));
+            self.send(finisher, Datagram::Standing(status));
         }
         let leader = self.endpoints[0].report(self.step);
         let agent = &mut self.agents[at];
         let round = round.filter(|_| silent);
-        let Some(round) = round.and_then(|round| agent.rescue.round(&round, &leader)) else {
+        let Some(round) = round.and_then(|round| agent.takeover.round(&round, &leader)) else {
             return;
         };
-        agent.rank.member.take(round.clone());
-        let order = agent.rescue.order(&leader);
+        agent.rank.member.update_round(round.clone());
+        let order = agent.takeover.order(&leader);
         for other in (0..self.ranks).filter(|&other| other != at) {
             self.send(other, Datagram::Finish(round.clone()));
             self.agents[other].finisher = Some((at, self.tick));
@@ -418,47 +418,47 @@
             agent.leader = true;
             agent.rank.observe(&place, &maps);
             let options = plan::Options {
-                per_rank: 2,
-                price: PRICE,
-                pause: None,
+                copies_per_rank: 2,
+                threshold: THRESHOLD,
+                max_pause: None,
             };
             let term = self.rng.random();
             agent.rank.lead(&place, SHAPE, options, term);
             self.choose(at);
             let agent = &mut self.agents[at];
-            let standing = Standing {
+            let status = Status {
                 place: place.clone(),
                 open: true,
                 maps,
                 pace: slowness,
                 fill: 50,
                 term: agent.rank.member.term(),
-                met: agent.rank.member.met(),
-                heard: agent.rank.member.heard(),
-                known: agent.rank.member.known(),
+                met: agent.rank.member.held_step(),
+                heard: agent.rank.member.progress(),
+                known: agent.rank.member.map_version(),
                 held: agent
                     .rank
-                    .tells_held()
+                    .reports_held()
                     .then(|| self.endpoints[at].held.clone()),
             };
-            let step = agent.rank.step(standing.clone(), now);
+            let step = agent.rank.step(status.clone(), now);
             let round = agent
                 .rank
                 .coordinator
                 .as_ref()
                 .map(|lead| lead.round().clone());
             if at != 0 {
-                self.send(0, Datagram::Standing(standing));
+                self.send(0, Datagram::Standing(status));
             }
             self.announce(step.announce, round.clone());
             if let Some(Event::Switched(_)) = step.event {
                 self.held_since = None;
             }
-            for (&rank, round) in step.call.iter().zip(round.iter().cycle()) {
+            for (&rank, round) in step.notify.iter().zip(round.iter().cycle()) {
                 self.send(usize::from(rank), Datagram::Round(round.clone()));
             }
-            if let Some((rank, pass)) = step.ask {
-                let ask = Ask {
+            if let Some((rank, pass)) = step.hold_request {
+                let ask = HoldRequest {
                     place: place.clone(),
                     endpoint: SocketAddr::from(([127, 0, 0, 1], 1)),
                     sequence: 0,
@@ -530,7 +530,7 @@
         let units = [*[8.0, 10.0, 12.0]
             .choose(&mut self.rng)
             .expect("it is not empty"); SHAPE.sets];
-        lead.count(&place, &units, &counts, now);
+        lead.add_counts(&place, &units, &counts, now);
     }
 
     fn place(&self, at: usize) -> Place {
