--- a/crates/group/src/coordination.rs
+++ b/crates/group/src/coordination.rs
@@ -1,4 +1,4 @@
-//! The coordinator's part, at the agents that may coordinate.
+//! The coordinator's part, in the agents that may coordinate.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::{Clock, Table};
@@ -9,12 +9,12 @@
 use cactusnotch_switch::{Lease, Map, Message, View};
 
 use crate::driver::Context;
-use crate::input::{Asker, Input};
-use crate::membership::{Membership, deliver, life};
+use crate::input::{Input, Requester};
+use crate::membership::{Membership, deliver, incarnation_name};
 use crate::planning::Plans;
 use crate::{Status, Transport};
 
-/// The coordinator's part, with the planner beside it.
+/// The coordinator of a group, with its planner.
 #[derive(Debug)]
 pub(crate) struct Coordination {
     coordinator: Coordinator,
@@ -32,7 +32,7 @@
     pub(crate) fn new<P: Transport, C: Clock>(context: &Context<P, C>) -> Self {
         let options = &context.options;
         Self {
-            coordinator: Coordinator::new(life(options), options.switch),
+            coordinator: Coordinator::new(incarnation_name(options), options.switch),
             wake: None,
             plans: Plans::new(&options.planning, context.clock.now()),
             wanted: Table::new(),
@@ -51,7 +51,7 @@
         self.wake.map_or(plan, |wake| wake.min(plan))
     }
 
-    pub(crate) fn tell(&self, status: &mut Status) {
+    pub(crate) fn update_status(&self, status: &mut Status) {
         status.fence = self.coordinator.fence();
         status.applied = self.applied;
         status.given_up = self.given_up;
@@ -73,14 +73,14 @@
         }
         let is_free = self.coordinator.fence().is_some() && self.coordinator.is_idle();
         let current = membership.content().filter(|_| is_free);
-        if let Some(placed) = self.plans.next(current, &self.seats, now) {
-            let digest = placed.digest();
-            self.wanted.insert(digest, placed);
+        if let Some(map_content) = self.plans.next(current, &self.seats, now) {
+            let digest = map_content.digest();
+            self.wanted.insert(digest, map_content);
             self.step(context, Event::Want { digest });
         }
     }
 
-    /// Takes in what a rank reports of its steps.
+    /// Passes the reports of a rank's steps to the planner.
     pub(crate) fn observe<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
@@ -121,11 +121,11 @@
     fn step<P: Transport, C: Clock>(&mut self, context: &Context<P, C>, event: Event) {
         let now = context.clock.now();
         for command in self.coordinator.step(event, now) {
-            self.carry_out(context, command, now);
+            self.execute(context, command, now);
         }
     }
 
-    fn carry_out<P: Transport, C: Clock>(
+    fn execute<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         command: Command,
@@ -165,14 +165,16 @@
     }
 
     fn record<P: Transport, C: Clock>(&self, context: &Context<P, C>, map: Map) {
-        let Some(placed) = self.wanted.get(&map.digest).cloned() else {
+        let Some(map_content) = self.wanted.get(&map.digest).cloned() else {
             return;
         };
         context.call(move |objects, _| {
-            objects.record(map, &placed).then_some(Input::Recorded {
-                map,
-                content: placed,
-            })
+            objects
+                .record(map, &map_content)
+                .then_some(Input::Recorded {
+                    map,
+                    content: map_content,
+                })
         });
     }
 
@@ -180,15 +182,15 @@
         match ending {
             Ending::Applied(_, map) => {
                 self.applied += 1;
-                tracing::info!(epoch = %map.epoch, "every rank uses the map");
+                tracing::info!(epoch = %map.epoch, "all ranks use the map");
             }
             Ending::Vetoed(id, reason) => {
                 self.given_up += 1;
-                tracing::info!(%id, ?reason, "switch given up");
+                tracing::info!(%id, ?reason, "switch abandoned");
             }
             Ending::Abandoned => {
                 self.given_up += 1;
-                tracing::info!("switch given up before it was proposed");
+                tracing::info!("switch abandoned before it was proposed");
             }
         }
         self.wanted = Table::new();
@@ -198,7 +200,7 @@
 fn group(found: Option<(Version, View)>) -> Option<Input> {
     let (version, view) = found?;
     Some(Input::Group {
-        asker: Asker::Coordinator,
+        requester: Requester::Coordinator,
         version,
         view,
     })
--- a/crates/group/src/driver.rs
+++ b/crates/group/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of the decisions beside a rank.
+//! Runs the state machines beside a rank.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -14,18 +14,18 @@
 
 use crate::coordination::Coordination;
 use crate::engine::Engine;
-use crate::input::{Asker, Input};
+use crate::input::{Input, Requester};
 use crate::membership::Membership;
 use crate::objects::Objects;
 use crate::{Options, Status, Transport};
 
-/// The inputs that may wait.
-const WAITING: usize = 1024;
+/// The number of inputs that may be queued.
+const INPUTS_MAX: usize = 1024;
 
-/// The ranks whose agents may coordinate the group.
+/// The number of ranks whose agents may coordinate the group, from rank 0 on.
 pub(crate) const CANDIDATES: u16 = 2;
 
-/// The part beside a rank, which runs until it is dropped.
+/// Runs the state machines beside a rank until it is dropped.
 #[derive(Debug)]
 pub struct Driver {
     group: Group,
@@ -34,7 +34,7 @@
     task: JoinHandle<()>,
 }
 
-/// What the decisions beside a rank share.
+/// The shared context of the state machines beside a rank.
 #[derive(Debug, Clone)]
 pub(crate) struct Context<P, C> {
     pub(crate) options: Options,
@@ -46,12 +46,12 @@
 }
 
 impl Driver {
-    /// Starts the part beside a rank on the current tokio runtime.
+    /// Starts the driver on the current tokio runtime.
     #[must_use]
     pub fn start<P: Transport, C: Clock>(options: Options, transport: P, clock: C) -> Self {
-        let (inputs, receiver) = mpsc::channel(WAITING);
+        let (inputs, receiver) = mpsc::channel(INPUTS_MAX);
         let store = Client::new(&options.platform);
-        let first = spread(options.size, options.shape);
+        let first = initial_map(options.size, options.shape);
         let context = Context {
             objects: Objects::new(store, options.group.clone(), options.size, first),
             engine: Engine::new(&options.engine),
@@ -84,14 +84,15 @@
         &self.group
     }
 
-    /// Takes in what the agent `from` said; it is dropped if too much waits.
+    /// Queues a message of the agent `from`; it is dropped if the queue is
+    /// full.
     pub fn receive(&self, from: &Process, body: Body) {
         let from = from.clone();
-        // The protocol repeats what matters.
-        let _ = self.inputs.try_send(Input::Said { from, body });
+        // The protocol repeats essential messages.
+        let _ = self.inputs.try_send(Input::Message { from, body });
     }
 
-    /// Returns what the part beside a rank can tell.
+    /// Returns the status of the rank's part in the group.
     #[must_use]
     pub fn status(&self) -> Status {
         let status = self.status.lock().unwrap_or_else(PoisonError::into_inner);
@@ -106,8 +107,8 @@
 }
 
 impl<P: Transport, C: Clock> Context<P, C> {
-    /// Makes a blocking call on a thread of its own, and takes its result in
-    /// if there is one.
+    /// Makes a blocking call on a separate thread, and queues its result if
+    /// there is one.
     pub(crate) fn call(
         &self,
         call: impl FnOnce(&Objects, &Engine) -> Option<Input> + Send + 'static,
@@ -159,7 +160,7 @@
         let mut status = status.lock().unwrap_or_else(PoisonError::into_inner);
         status.current = membership.current();
         if let Some(coordination) = &coordination {
-            coordination.tell(&mut status);
+            coordination.update_status(&mut status);
         }
     }
 }
@@ -171,15 +172,15 @@
     coordination: Option<&mut Coordination>,
 ) {
     match (input, coordination) {
-        (Input::Said { from, body }, coordination) => match body {
+        (Input::Message { from, body }, coordination) => match body {
             Body::Switch(message) => {
-                use cactusnotch_switch::message::Body as Said;
+                use cactusnotch_switch::message::Body as Switch;
                 let is_for_coordinator = matches!(
                     message.body,
-                    Said::Ready { .. } | Said::Vote { .. } | Said::Applied { .. }
+                    Switch::Ready { .. } | Switch::Vote { .. } | Switch::Applied { .. }
                 );
-                membership.heard(&from, &message);
-                let asks = matches!(message.body, Said::Query { .. } | Said::Outcome { .. });
+                membership.record_sender(&from, &message);
+                let asks = matches!(message.body, Switch::Query { .. } | Switch::Outcome { .. });
                 if let Some(coordination) = coordination
                     && (is_for_coordinator || asks)
                 {
@@ -197,7 +198,7 @@
         },
         (
             Input::Group {
-                asker: Asker::Member,
+                requester: Requester::Member,
                 version,
                 view,
             },
@@ -228,8 +229,9 @@
     second.map_or(first, |second| first.min(second))
 }
 
-/// Returns the map that gives each expert one replica, in turn over the ranks.
-fn spread(ranks: u16, shape: Shape) -> Content {
+/// Returns the map that gives each expert one replica, round-robin over the
+/// ranks.
+fn initial_map(ranks: u16, shape: Shape) -> Content {
     let row = |expert: u16| {
         vec![Replica {
             rank: Place(expert % ranks.max(1)),
--- a/crates/group/src/engine.rs
+++ b/crates/group/src/engine.rs
@@ -1,4 +1,4 @@
-//! The rank's engine, as `docs/ENGINE.md` has it.
+//! The client of the rank's engine, whose protocol `docs/ENGINE.md` defines.
 
 use std::time::Duration;
 
@@ -10,10 +10,11 @@
 use serde::Serialize;
 use ureq::Agent;
 
-/// How long the engine may take to answer.
+/// The time limit for an answer of the engine.
 const TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The rank's engine. Its calls block, and are `None` without an answer.
+/// The client of the rank's engine. Its calls block, and return `None` without
+/// an answer.
 #[derive(Debug, Clone)]
 pub(crate) struct Engine {
     base: String,
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Sends an order, with the content of the map that it names.
+    /// Sends an order, with the content of the map that it refers to.
     pub(crate) fn order(
         &self,
         order: &Order<Wish>,
--- a/crates/group/src/input.rs
+++ b/crates/group/src/input.rs
@@ -1,4 +1,4 @@
-//! What comes in to the part beside a rank.
+//! The inputs of the driver beside a rank.
 
 use cactusnotch_base::name::Process;
 use cactusnotch_objects::object::Version;
@@ -9,21 +9,21 @@
 use cactusnotch_switch::{Lease, Map, View};
 use cactusnotch_wire::group::Body;
 
-/// Which of the two decisions asked.
+/// The state machine that requested a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Asker {
+pub(crate) enum Requester {
     Member,
     Coordinator,
 }
 
-/// What comes in to the part beside a rank.
+/// An input of the driver beside a rank.
 #[derive(Debug)]
 pub(crate) enum Input {
-    /// Another agent said something.
-    Said { from: Process, body: Body },
+    /// A message of another agent was received.
+    Message { from: Process, body: Body },
     /// The group's object was read.
     Group {
-        asker: Asker,
+        requester: Requester,
         version: Version,
         view: View,
     },
@@ -31,9 +31,9 @@
     Lease(Option<(Version, Lease)>),
     /// The content of a map was read.
     Content { map: Map, content: Content },
-    /// The content of the map in force was read for plans.
+    /// The content of the map in force was read, for planning.
     InForce { map: Map, content: Content },
-    /// The content of a map is on the platform.
+    /// The content of a map was written to the platform.
     Recorded { map: Map, content: Content },
     /// The rank's engine answered.
     Engine(Answer<State>),
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,9 +1,11 @@
-//! The part of an agent beside a rank that keeps the group on one expert map.
+//! The part of an agent beside a rank that keeps all ranks of the group on one
+//! expert map.
 //!
-//! [`Driver`] carries out what the agreement ([`cactusnotch_switch`]) and the
-//! planner ([`cactusnotch_placement`]) decide: it orders the rank's engine,
-//! keeps the group's objects in the platform and talks to the agents of the
-//! other ranks through [`Transport`].
+//! [`Driver`] carries out the decisions of the switch protocol
+//! ([`cactusnotch_switch`]) and of the planner ([`cactusnotch_placement`]): it
+//! sends orders to the rank's engine, maintains the group's objects in the
+//! platform and exchanges messages with the agents of the other ranks through
+//! [`Transport`].
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/group/src/membership.rs
+++ b/crates/group/src/membership.rs
@@ -1,4 +1,4 @@
-//! The rank's own part in the agreement.
+//! The rank's own part in the switch protocol.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::name::Process;
@@ -16,24 +16,24 @@
 
 use crate::Transport;
 use crate::driver::{CANDIDATES, Context};
-use crate::input::{Asker, Input};
+use crate::input::{Input, Requester};
 
-/// What parts a process's name from its incarnation in a seat.
-const LIFE: char = '@';
+/// Separates a process's name from its incarnation in a seat.
+const INCARNATION_SEPARATOR: char = '@';
 
-/// The contents of maps that are kept.
-const CONTENTS: usize = 8;
+/// The number of maps whose contents are cached.
+const CONTENTS_MAX: usize = 8;
 
-/// The rank's own part in the agreement, with what the driver knows beside.
+/// The rank's own part in the switch protocol, with the state of its driver.
 #[derive(Debug)]
 pub(crate) struct Membership {
     member: Member,
     wake: Option<Instant>,
     report: Instant,
     reported: Sequence,
-    /// Where each coordinator was heard from.
+    /// The process from which messages of each coordinator were received.
     coordinators: Table<Fence, Process>,
-    /// Who sent the message heard last, for the reply to it.
+    /// The sender of the latest message, to which replies are sent.
     sender: Option<Process>,
     contents: Table<Map, Content>,
 }
@@ -64,7 +64,7 @@
         self.member.current()
     }
 
-    /// Returns the placed of the map in force, if it is known.
+    /// Returns the content of the map in force, if it is cached.
     pub(crate) fn content(&self) -> Option<&Content> {
         self.contents.get(&self.current()?.map)
     }
@@ -72,7 +72,7 @@
     /// Returns the processes in the seats, by rank.
     pub(crate) fn seats(&self) -> impl Iterator<Item = Option<Process>> + '_ {
         let seats = self.member.view().seats.iter();
-        seats.map(|seat| seat.as_ref().map(|seat| place(&seat.process)))
+        seats.map(|seat| seat.as_ref().map(|seat| roster_name(&seat.process)))
     }
 
     pub(crate) fn tick<P: Transport, C: Clock>(&mut self, context: &Context<P, C>) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Reads the placed of the map in force unless it is known.
+    /// Reads the content of the map in force unless it is cached.
     fn read_current<P: Transport, C: Clock>(&self, context: &Context<P, C>) {
         let unknown = self
             .current()
@@ -97,17 +97,17 @@
             .filter(|map| !self.contents.contains(map));
         if let Some(map) = unknown {
             context.call(move |objects, _| {
-                let placed = objects.read_map(map)?;
+                let map_content = objects.read_map(map)?;
                 Some(Input::InForce {
                     map,
-                    content: placed,
+                    content: map_content,
                 })
             });
         }
     }
 
-    /// Notes who sent a message, and where a coordinator is reached.
-    pub(crate) fn heard(&mut self, from: &Process, message: &Message) {
+    /// Records the sender of a message, and the address of a coordinator.
+    pub(crate) fn record_sender(&mut self, from: &Process, message: &Message) {
         self.sender = Some(from.clone());
         if let Peer::Coordinator(fence) = message.from {
             self.coordinators.retain(|known, _| *known >= fence);
@@ -136,18 +136,18 @@
         &mut self,
         context: &Context<P, C>,
         map: Map,
-        placed: Content,
+        map_content: Content,
     ) {
         let place = Place(context.options.rank.0);
-        let experts = placed.held(place).map(expert).collect();
-        self.keep(map, placed);
+        let experts = map_content.held(place).map(expert).collect();
+        self.keep(map, map_content);
         self.step(context, Event::Experts { map, experts });
     }
 
-    /// Keeps the placed of a map for orders and plans.
-    pub(crate) fn keep(&mut self, map: Map, placed: Content) {
-        self.contents.insert(map, placed);
-        if self.contents.len() > CONTENTS {
+    /// Caches the content of a map for orders and plans.
+    pub(crate) fn keep(&mut self, map: Map, map_content: Content) {
+        self.contents.insert(map, map_content);
+        if self.contents.len() > CONTENTS_MAX {
             let oldest = self.contents.keys().next().copied();
             oldest.map(|map| self.contents.remove(&map));
         }
@@ -161,7 +161,7 @@
         self.step(context, Event::Engine(answer));
     }
 
-    /// Passes the rank's reports on to the agents that may coordinate.
+    /// Forwards the rank's reports to the agents that may coordinate.
     pub(crate) fn reported<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
@@ -179,11 +179,11 @@
     fn step<P: Transport, C: Clock>(&mut self, context: &Context<P, C>, event: Event) {
         let now = context.clock.now();
         for command in self.member.step(event, now) {
-            self.carry_out(context, command, now);
+            self.execute(context, command, now);
         }
     }
 
-    fn carry_out<P: Transport, C: Clock>(
+    fn execute<P: Transport, C: Clock>(
         &mut self,
         context: &Context<P, C>,
         command: Command,
@@ -202,12 +202,14 @@
                 }
             }
             Command::Order(order) => {
-                let placed = match order.wanted {
+                let map_content = match order.wanted {
                     Wish::Use(switch) => self.contents.get(&switch.map).cloned(),
                     _ => None,
                 };
                 context.call(move |_, engine| {
-                    engine.order(&order, placed.as_ref()).map(Input::Engine)
+                    engine
+                        .order(&order, map_content.as_ref())
+                        .map(Input::Engine)
                 });
             }
             Command::ReadEngine(fence) => {
@@ -235,10 +237,10 @@
     fn read_map<P: Transport, C: Clock>(&self, context: &Context<P, C>, map: Map) {
         let known = self.contents.get(&map).cloned();
         context.call(move |objects, _| {
-            let placed = known.or_else(|| objects.read_map(map))?;
+            let map_content = known.or_else(|| objects.read_map(map))?;
             Some(Input::Content {
                 map,
-                content: placed,
+                content: map_content,
             })
         });
     }
@@ -256,11 +258,11 @@
     /// Returns the process in a seat.
     pub(crate) fn seat(&self, rank: Rank) -> Option<Process> {
         let seat = self.member.view().seat(rank)?;
-        Some(place(&seat.process))
+        Some(roster_name(&seat.process))
     }
 
     fn retire<P: Transport, C: Clock>(&mut self, context: &Context<P, C>, retirement: Retirement) {
-        tracing::warn!(?retirement, "part in the group ended");
+        tracing::warn!(?retirement, "rank's participation in the group ended");
         if retirement == Retirement::EngineLost {
             self.member = member(context);
             self.wake = None;
@@ -270,7 +272,8 @@
     }
 }
 
-/// Sends a message of the agreement, to the own process as well.
+/// Sends a message of the switch protocol; it may be addressed to the own
+/// process as well.
 pub(crate) fn deliver<P: Transport, C: Clock>(
     context: &Context<P, C>,
     to: &Process,
@@ -279,8 +282,8 @@
     let body = Body::Switch(message);
     if *to == context.options.process {
         let from = to.clone();
-        // The protocol repeats what matters.
-        let _ = context.inputs.try_send(Input::Said { from, body });
+        // The protocol repeats essential messages.
+        let _ = context.inputs.try_send(Input::Message { from, body });
     } else {
         context.send(to, body);
     }
@@ -288,25 +291,31 @@
 
 fn member<P, C>(context: &Context<P, C>) -> Member {
     let options = &context.options;
-    Member::new(options.rank, life(options), options.switch)
+    Member::new(options.rank, incarnation_name(options), options.switch)
 }
 
-/// Returns the name of this life of the process: a seat must not pass to a
-/// process that was restarted under the same name.
-pub(crate) fn life(options: &crate::Options) -> Process {
-    Process::new(format!("{}{LIFE}{}", options.process, options.incarnation))
+/// Returns the name of this incarnation of the process: a seat must not pass to
+/// a process that was restarted under the same name.
+pub(crate) fn incarnation_name(options: &crate::Options) -> Process {
+    Process::new(format!(
+        "{}{INCARNATION_SEPARATOR}{}",
+        options.process, options.incarnation
+    ))
 }
 
-/// Returns the process's name on the roster.
-fn place(life: &Process) -> Process {
-    let name = life.as_str();
-    Process::new(name.rsplit_once(LIFE).map_or(name, |(place, _)| place))
+/// Returns the name of the process on the roster.
+fn roster_name(name: &Process) -> Process {
+    let name = name.as_str();
+    Process::new(
+        name.rsplit_once(INCARNATION_SEPARATOR)
+            .map_or(name, |(place, _)| place),
+    )
 }
 
 fn group(found: Option<(Version, View)>) -> Option<Input> {
     let (version, view) = found?;
     Some(Input::Group {
-        asker: Asker::Member,
+        requester: Requester::Member,
         version,
         view,
     })
--- a/crates/group/src/objects.rs
+++ b/crates/group/src/objects.rs
@@ -10,16 +10,16 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// The kind of the objects that hold groups.
+/// The kind of the objects that store groups.
 const GROUP: &str = "group";
 
-/// The kind of the objects that hold the contents of maps.
+/// The kind of the objects that store the contents of maps.
 const MAP: &str = "expert-map";
 
-/// The kind of the objects that hold leases.
+/// The kind of the objects that store leases.
 const LEASE: &str = "lease";
 
-/// What a read found.
+/// The result of a read.
 #[derive(Debug, Clone)]
 pub(crate) enum Found<T> {
     /// The object, at its version.
@@ -38,14 +38,14 @@
     }
 }
 
-/// The group's objects in the platform. Its calls block, and bring nothing if
-/// the platform does not answer.
+/// The group's objects in the platform. Its calls block, and return `None` or
+/// `false` if the platform does not answer.
 #[derive(Debug, Clone)]
 pub(crate) struct Objects {
     store: Client,
     group: Group,
     size: u16,
-    /// The map with which a new group starts.
+    /// The initial map of a new group.
     first: Content,
 }
 
@@ -110,8 +110,8 @@
         (content.digest() == map.digest).then_some(content)
     }
 
-    /// Writes the content of a map; its name has the content's digest, so a
-    /// map that is there already is the same.
+    /// Writes the content of a map. The object's name contains the content's
+    /// digest: a map that already exists has the same content.
     pub(crate) fn record(&self, map: Map, content: &Content) -> bool {
         self.write(&self.map_path(map), content, Condition::Absent) || self.read_map(map).is_some()
     }
@@ -129,26 +129,26 @@
         Path::new(MAP, name)
     }
 
-    /// Reads an object.
     fn read<T: DeserializeOwned>(&self, path: &Path) -> Option<Found<T>> {
         let object = match self.store.get(path) {
             Ok(Some(object)) => object,
             Ok(None) => return Some(Found::Absent),
             Err(error) => {
-                tracing::debug!(%error, "group's object not read");
+                tracing::debug!(%error, "group's object could not be read");
                 return None;
             }
         };
         match serde_json::from_value(object.value) {
             Ok(value) => Some(Found::Object(object.version, value)),
             Err(error) => {
-                tracing::error!(%error, %path, "group's object not understood");
+                tracing::error!(%error, %path, "group's object could not be decoded");
                 None
             }
         }
     }
 
-    /// Tries to write an object. What became of it is learnt by reading.
+    /// Writes an object and returns whether this is confirmed. Otherwise a read
+    /// shows the effect.
     fn write<T: Serialize>(&self, path: &Path, value: &T, condition: Condition) -> bool {
         let Ok(value) = serde_json::to_value(value) else {
             return false;
@@ -157,7 +157,7 @@
             Ok(_) => true,
             Err(Error::Conflict { .. }) => false,
             Err(error) => {
-                tracing::debug!(%error, "group's object not written for certain");
+                tracing::debug!(%error, "write of the group's object not confirmed");
                 false
             }
         }
--- a/crates/group/src/options.rs
+++ b/crates/group/src/options.rs
@@ -1,4 +1,4 @@
-//! How the part beside a rank runs.
+//! The options of the driver beside a rank.
 
 use std::time::Duration;
 
@@ -9,40 +9,41 @@
 use cactusnotch_popularity::Shape;
 use cactusnotch_switch::{self as switch, Rank};
 
-/// How the part beside a rank runs.
+/// The options of the driver beside a rank.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The group.
     pub group: Group,
     /// The rank.
     pub rank: Rank,
-    /// The ranks of the group.
+    /// The number of ranks of the group.
     pub size: u16,
     /// The layers and experts of the model.
     pub shape: Shape,
     /// The agent's process.
     pub process: Process,
-    /// The life of the agent's process.
+    /// The incarnation of the agent's process.
     pub incarnation: Incarnation,
     /// The base address of the rank's engine.
     pub engine: String,
-    /// How the platform is reached.
+    /// The options of the connection to the platform.
     pub platform: http::Options,
-    /// The times of the agreement.
+    /// The timing of the switch protocol.
     pub switch: switch::Options,
-    /// How maps are planned, if this agent may coordinate.
+    /// The options for planning maps, if this agent may coordinate.
     pub planning: Planning,
-    /// How often the rank's reports are read and passed on.
+    /// The interval at which the rank's reports are read and forwarded.
     pub report_interval: Duration,
 }
 
-/// How maps are planned.
+/// The options for planning maps.
 #[derive(Debug, Clone)]
 pub struct Planning {
-    /// What the planner knows of the group.
+    /// The parameters of the group.
     pub planner: placement::Options,
-    /// How skew is weighed against cost.
+    /// The weights of skew and cost.
     pub weights: Weights,
-    /// What a plan may take from the weight store, and how often one is made.
+    /// The rate of the weight store that a plan may use, and the interval
+    /// between plans.
     pub budget: Budget,
 }
--- a/crates/group/src/planning.rs
+++ b/crates/group/src/planning.rs
@@ -1,4 +1,4 @@
-//! When the planner is asked, and what becomes of its plans.
+//! Schedules the planner and evaluates its plans.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::name::Process;
@@ -8,7 +8,7 @@
 
 use crate::Planning;
 
-/// When the planner is asked, and what becomes of its plans.
+/// Schedules the planner and evaluates its plans.
 #[derive(Debug)]
 pub(crate) struct Plans {
     planner: Planner,
@@ -25,12 +25,12 @@
         }
     }
 
-    /// Returns when the planner is asked next.
+    /// Returns when the next plan is due.
     pub(crate) const fn due(&self) -> Instant {
         self.due
     }
 
-    /// Takes in what a rank reports of its steps.
+    /// Passes the reports of a rank's steps to the planner.
     pub(crate) fn observe(&mut self, reports: &[Report], now: Instant) {
         for report in reports {
             if let Err(error) = self.planner.observe(report, now) {
@@ -40,8 +40,8 @@
         }
     }
 
-    /// Asks the planner for the map that should follow `current`, if one
-    /// should. The time until the next plan begins anew.
+    /// Returns the map that should replace `current`, if the planner proposes
+    /// one, and schedules the next plan.
     pub(crate) fn next(
         &mut self,
         current: Option<&Content>,
@@ -63,7 +63,7 @@
         let plan = match self.planner.plan(current, &states, weights, budget, now) {
             Ok(plan) => plan?,
             Err(error) => {
-                tracing::warn!(%error, "no plan made");
+                tracing::warn!(%error, "planning a map failed");
                 return None;
             }
         };
@@ -73,7 +73,7 @@
             moves = count,
             before = plan.predicted.before,
             after = plan.predicted.after,
-            "switch to another map planned"
+            "switch to a new map planned"
         );
         plan.after(count).ok()
     }
--- a/crates/group/src/status.rs
+++ b/crates/group/src/status.rs
@@ -1,11 +1,11 @@
-//! What the part beside a rank can tell.
+//! The status of a rank's part in the group.
 
 use cactusnotch_base::name::Group;
 use cactusnotch_base::number::Fence;
 use cactusnotch_derive::message;
 use cactusnotch_switch::{Rank, Switch};
 
-/// What the part beside a rank can tell.
+/// The status of a rank's part in the group.
 #[message]
 #[derive(Eq)]
 pub struct Status {
@@ -13,12 +13,13 @@
     pub group: Group,
     /// The rank.
     pub rank: Rank,
-    /// The map in force, once the rank has a part in the group.
+    /// The map in force, once the rank participates in the group.
     pub current: Option<Switch>,
     /// The fencing number, if this agent coordinates the group.
     pub fence: Option<Fence>,
-    /// The switches that this agent coordinated to their end.
+    /// The number of switches that this agent has coordinated to completion.
     pub applied: u64,
-    /// The switches that this agent coordinated and that were given up.
+    /// The number of switches that this agent has coordinated and that were
+    /// abandoned.
     pub given_up: u64,
 }
--- a/crates/lease/src/attempt.rs
+++ b/crates/lease/src/attempt.rs
@@ -1,13 +1,14 @@
-//! Writes whose effect may still be found by reading back.
+//! The send times of writes whose effect may still be found by reading back.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::number::Sequence;
 
-/// How many writes are remembered; an older one is past its lease.
-const REMEMBERED: usize = 64;
+/// The number of writes that are remembered; the lease of an older one has
+/// expired.
+const ATTEMPTS_MAX: usize = 64;
 
-/// When each of the latest writes was sent.
+/// The send times of the latest writes.
 #[derive(Debug, Default)]
 pub(crate) struct Attempts {
     last: Sequence,
@@ -15,11 +16,11 @@
 }
 
 impl Attempts {
-    /// Numbers a write that is about to be sent.
+    /// Assigns a number to a write that is about to be sent.
     pub(crate) fn open(&mut self, now: Instant) -> Sequence {
         self.last = self.last.next();
         self.sent.insert(self.last, now);
-        let oldest = self.last.0.saturating_sub(REMEMBERED as u64);
+        let oldest = self.last.0.saturating_sub(ATTEMPTS_MAX as u64);
         self.sent.retain(|attempt, _| attempt.0 > oldest);
         self.last
     }
--- a/crates/lease/src/call.rs
+++ b/crates/lease/src/call.rs
@@ -1,4 +1,4 @@
-//! The calls that a lease asks for, and their answers.
+//! The calls that a lease requires, and their answers.
 
 use cactusnotch_derive::record;
 use cactusnotch_objects::object::{Condition, Version};
@@ -19,7 +19,7 @@
     },
 }
 
-/// The lease's object at some version, or its absence.
+/// The lease's object at some version.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Found {
     /// The version of the object.
@@ -28,22 +28,23 @@
     pub record: Record,
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// A read brought the object, or its absence.
+    /// The result of a read: the object, or its absence.
     Read(Option<Found>),
     /// A write took effect.
     Written(Version),
-    /// The condition of a write did not hold; the object as it stands.
+    /// The condition of a write did not hold; contains the present object.
     Conflict(Option<Found>),
     /// The call had no effect.
     Refused,
-    /// Nothing is known; a write may have taken effect, or may yet.
+    /// The outcome is unknown; a write may have taken effect, or may do so
+    /// later.
     Unanswered,
 }
 
-/// The number of a call, which its answer brings back.
+/// The number of a call, with which its answer is matched.
 #[record]
 #[derive(Copy)]
 pub struct Ticket(pub(crate) u64);
--- a/crates/lease/src/driver.rs
+++ b/crates/lease/src/driver.rs
@@ -1,4 +1,4 @@
-//! A lease joined to the platform and a clock.
+//! Runs a lease against the platform and a clock.
 
 use cactusnotch_base::Clock;
 use cactusnotch_base::number::Fence;
@@ -12,7 +12,7 @@
 use crate::lease::Lease;
 use crate::record::Record;
 
-/// A call for a lease that brought no result.
+/// A call for a lease failed.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// The platform refused the call or gave no answer.
@@ -31,7 +31,7 @@
     },
 }
 
-/// A lease joined to the platform and a clock. Calls block.
+/// Runs a lease against the platform and a clock. Calls block.
 #[derive(Debug)]
 pub struct Driver<S, C, R> {
     store: S,
@@ -42,7 +42,8 @@
 }
 
 impl<S: Store, C: Clock, R: Rng> Driver<S, C, R> {
-    /// Joins `lease` to the object of the right called `name`.
+    /// Creates the driver of `lease`, whose object in the platform is called
+    /// `name`.
     pub fn new(store: S, clock: C, rng: R, name: &str, lease: Lease) -> Self {
         let path = Path::new(Record::KIND, name);
         Self {
@@ -54,31 +55,31 @@
         }
     }
 
-    /// Returns the lease, to seek it or to give it back.
+    /// Returns the lease, to acquire or release it.
     pub const fn lease(&mut self) -> &mut Lease {
         &mut self.lease
     }
 
-    /// Returns the right to act, unless it is not held or has lapsed.
+    /// Returns the right to act, unless it is not held or has expired.
     #[must_use]
     pub fn check(&self) -> Option<Guard> {
         self.lease.check(self.clock.now())
     }
 
     /// Raises the fencing number; see [`Lease::raise`].
-    pub fn raise(&mut self, fence: Fence) {
-        self.lease.raise(fence);
+    pub fn raise_fence(&mut self, fence: Fence) {
+        self.lease.raise_fence(fence);
     }
 
-    /// Makes the call that is due, if there is one, and tells whether it did.
-    /// Called on every tick, and again at once while it returns `true`.
+    /// Makes the call that is due, if there is one, and returns whether it did.
+    /// It must be called periodically, and again at once while it returns
+    /// `true`.
     ///
     /// # Errors
     ///
-    /// [`Error::Platform`] if the call brought no result and
-    /// [`Error::Malformed`] if the object is not a lease; either way the next
-    /// call waits for its pause.
-    pub fn turn(&mut self) -> Result<bool, Error> {
+    /// [`Error::Platform`] if the call failed and [`Error::Malformed`] if the
+    /// object is not a lease; in both cases the next call waits for its pause.
+    pub fn tick(&mut self) -> Result<bool, Error> {
         let Some((ticket, call)) = self.lease.poll(self.clock.now()) else {
             return Ok(false);
         };
@@ -136,8 +137,8 @@
     Error::Platform { source }
 }
 
-/// Returns what is known after `error`. A malformed answer leaves the effect
-/// of a write unknown.
+/// Returns the answer that `error` implies. After a malformed answer, the
+/// effect of a write is unknown.
 const fn failure(error: &Error) -> Answer {
     match error {
         Error::Platform {
--- a/crates/lease/src/guard.rs
+++ b/crates/lease/src/guard.rs
@@ -1,4 +1,4 @@
-//! The right to act, for a bounded time.
+//! The right to act for a limited time.
 
 use std::sync::Arc;
 
@@ -7,8 +7,8 @@
 
 /// The right to act under a lease until [`Guard::deadline`].
 ///
-/// A release is written only once all guards of the lease have been dropped
-/// or have ended.
+/// A release is written only once all guards of the lease have been dropped or
+/// have expired.
 #[derive(Debug)]
 pub struct Guard {
     fence: Fence,
@@ -37,8 +37,9 @@
         self.deadline
     }
 
-    /// Tells whether the right still holds at `now`; asked again before each
-    /// order, since the process may have been paused in between.
+    /// Returns whether the right is still held at `now`. It must be checked
+    /// again before each order, since the process may have been paused in
+    /// between.
     #[must_use]
     pub fn check(&self, now: Instant) -> bool {
         now < self.deadline
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -1,4 +1,4 @@
-//! The decisions of one process about one lease.
+//! The state machine of one process for one lease.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,16 +15,17 @@
 use crate::options::Options;
 use crate::record::Record;
 
-/// What was seen of the lease's object, and when it was first seen so.
+/// The lease's object as last observed, and when it was first observed in that
+/// state.
 #[derive(Debug)]
 struct Seen {
     found: Option<Found>,
     since: Instant,
-    /// The longest lease that a holder may still believe in.
+    /// The longest lease that a holder may still consider valid.
     ttl: Duration,
 }
 
-/// The right as this process holds it.
+/// The right of this process.
 #[derive(Debug)]
 struct Held {
     fence: Fence,
@@ -40,67 +41,68 @@
     written: Option<Record>,
 }
 
-/// The decisions of one process about one lease.
+/// The state machine of one process for one lease.
 ///
-/// [`Lease::poll`] asks for at most one call at a time, and its answer goes
-/// to [`Lease::answer`]. [`Lease::check`] gives the right to act.
+/// [`Lease::poll`] returns at most one call at a time, whose answer must be
+/// passed to [`Lease::answer`]. [`Lease::check`] returns the right to act.
 #[derive(Debug)]
 pub struct Lease {
     options: Options,
     holder: Process,
     session: u64,
     wanted: bool,
-    floor: Fence,
+    fence_floor: Fence,
     seen: Option<Seen>,
     held: Option<Held>,
     attempts: Attempts,
     pending: Option<Pending>,
-    unsettled: bool,
+    unconfirmed: bool,
     failures: u32,
     next_call: Option<Instant>,
     tickets: u64,
 }
 
 impl Lease {
-    /// Creates the view of `holder`, which does not want the lease yet.
-    /// `rng` draws the number that tells this life from earlier ones.
+    /// Creates the state of `holder`, which does not acquire the lease yet.
+    /// `rng` draws the number that distinguishes this incarnation from earlier
+    /// ones.
     pub fn new<R: Rng>(options: Options, holder: Process, rng: &mut R) -> Self {
         Self {
             options,
             holder,
             session: rng.random(),
             wanted: false,
-            floor: Fence(0),
+            fence_floor: Fence(0),
             seen: None,
             held: None,
             attempts: Attempts::default(),
             pending: None,
-            unsettled: false,
+            unconfirmed: false,
             failures: 0,
             next_call: None,
             tickets: 0,
         }
     }
 
-    /// Seeks the lease from now on.
+    /// Starts to acquire the lease.
     pub const fn acquire(&mut self) {
         self.wanted = true;
     }
 
-    /// Gives the lease back; no guard is given from now on, and others may
-    /// take over once those given before have been dropped or have ended.
+    /// Releases the lease. No further guard is given, and others may take over
+    /// once the guards given before have been dropped or have expired.
     pub const fn release(&mut self) {
         self.wanted = false;
     }
 
-    /// Raises the fencing number that the next change of holder exceeds, as
-    /// learnt from an endpoint that refused a smaller one (after the lease's
-    /// object was deleted).
-    pub fn raise(&mut self, fence: Fence) {
-        self.floor = self.floor.max(fence);
+    /// Raises the fencing number that the next change of holder must exceed,
+    /// after an endpoint has refused a smaller one (the lease's object was
+    /// deleted).
+    pub fn raise_fence(&mut self, fence: Fence) {
+        self.fence_floor = self.fence_floor.max(fence);
     }
 
-    /// Returns the right to act, unless it is not held or has lapsed at `now`.
+    /// Returns the right to act, unless it is not held or has expired at `now`.
     #[must_use]
     pub fn check(&self, now: Instant) -> Option<Guard> {
         let held = self.held.as_ref()?;
@@ -108,7 +110,7 @@
         valid.then(|| Guard::new(held.fence, held.deadline, &held.usage))
     }
 
-    /// Returns the record last seen in the platform.
+    /// Returns the record last observed in the platform.
     #[must_use]
     pub fn seen(&self) -> Option<&Record> {
         let found = self.seen.as_ref()?.found.as_ref()?;
@@ -118,7 +120,7 @@
     /// Returns the call to make at `now`, if there is one.
     ///
     /// The answer, or [`Answer::Unanswered`] after the call's timeout, must be
-    /// handed to [`Lease::answer`] before another call is asked for.
+    /// passed to [`Lease::answer`] before another call is returned.
     pub fn poll(&mut self, now: Instant) -> Option<(Ticket, Call)> {
         let early = self.next_call.is_some_and(|at| now < at);
         if self.pending.is_some() || early {
@@ -135,7 +137,7 @@
         Some((ticket, call))
     }
 
-    /// Takes in the answer to a call. An answer to a call that was already
+    /// Handles the answer to a call. An answer to a call that was already
     /// answered is ignored.
     pub fn answer<R: Rng>(&mut self, ticket: Ticket, answer: Answer, now: Instant, rng: &mut R) {
         let Some(pending) = self.pending.take_if(|pending| pending.ticket == ticket) else {
@@ -144,25 +146,25 @@
         match answer {
             Answer::Read(found) | Answer::Conflict(found) => {
                 self.observe(found, now);
-                self.settled(now);
+                self.succeeded(now);
             }
             Answer::Written(version) => {
                 let found = pending.written.map(|record| Found { version, record });
                 self.observe(found, now);
-                self.settled(now);
+                self.succeeded(now);
             }
             Answer::Refused => self.failed(now, rng),
             Answer::Unanswered => {
-                self.unsettled = true;
+                self.unconfirmed = true;
                 self.failed(now, rng);
             }
         }
     }
 
-    /// Takes in the object as a watch or an answer brought it.
+    /// Handles the object as received by a watch or in an answer.
     ///
-    /// The time that an unchanged version has stood is measured from the first
-    /// sight of it on this process's own clock.
+    /// The time for which a version has been unchanged is measured from its
+    /// first observation, on the clock of this process.
     pub fn observe(&mut self, found: Option<Found>, now: Instant) {
         let known = self.seen.as_ref().map(|seen| version(seen.found.as_ref()));
         let new = version(found.as_ref());
@@ -171,8 +173,10 @@
             return;
         }
         let record = found.as_ref().map(|found| &found.record);
-        self.floor = record.map_or(self.floor, |record| self.floor.max(record.fence));
-        self.held = record.and_then(|record| self.own(record, now));
+        self.fence_floor = record.map_or(self.fence_floor, |record| {
+            self.fence_floor.max(record.fence)
+        });
+        self.held = record.and_then(|record| self.right_of(record, now));
         let before = self.seen.as_ref().map_or(self.options.ttl, |seen| seen.ttl);
         let ttl = record.map_or(before, Record::ttl);
         self.seen = Some(Seen {
@@ -182,9 +186,9 @@
         });
     }
 
-    /// Returns the right that `record` gives this process, dated from before
-    /// the write was sent.
-    fn own(&mut self, record: &Record, now: Instant) -> Option<Held> {
+    /// Returns the right that `record` gives this process. It is dated from
+    /// before the write was sent.
+    fn right_of(&mut self, record: &Record, now: Instant) -> Option<Held> {
         if record.session != self.session || record.released {
             return None;
         }
@@ -206,17 +210,17 @@
         if !self.wanted && self.seen.is_none() {
             return None;
         }
-        if self.unsettled || self.seen.is_none() {
+        if self.unconfirmed || self.seen.is_none() {
             return Some(Call::Get);
         }
         if self.wanted {
-            self.seek(now)
+            self.acquire_or_renew(now)
         } else {
-            self.give_back(now)
+            self.hand_back(now)
         }
     }
 
-    fn seek(&mut self, now: Instant) -> Option<Call> {
+    fn acquire_or_renew(&mut self, now: Instant) -> Option<Call> {
         let live = self.held.as_ref().filter(|held| now < held.deadline);
         if let Some(held) = live {
             let due = now >= held.renew_at;
@@ -224,29 +228,30 @@
             return due.then(|| self.write(fence, false, now));
         }
         self.held = None;
-        if self.free(now) {
-            return Some(self.write(self.floor.next(), false, now));
+        if self.is_free(now) {
+            return Some(self.write(self.fence_floor.next(), false, now));
         }
         Some(Call::Get)
     }
 
-    /// Tells whether no other process can hold the lease at `now`.
-    fn free(&self, now: Instant) -> bool {
+    /// Returns whether no other process can hold the lease at `now`.
+    fn is_free(&self, now: Instant) -> bool {
         let Some(seen) = &self.seen else { return false };
-        let given_up = seen
+        let released = seen
             .found
             .as_ref()
             .is_some_and(|found| found.record.released || found.record.session == self.session);
-        given_up || now >= self.free_at(seen)
+        released || now >= self.free_at(seen)
     }
 
-    /// Returns when the holder seen has lapsed on every clock. An absent
-    /// object may just have been deleted under a holder, and waits likewise.
+    /// Returns when the observed holder's lease has expired on every clock. An
+    /// absent object may have just been deleted while a process held the lease,
+    /// and requires the same wait.
     fn free_at(&self, seen: &Seen) -> Instant {
         seen.since + self.options.takeover(seen.ttl)
     }
 
-    fn give_back(&mut self, now: Instant) -> Option<Call> {
+    fn hand_back(&mut self, now: Instant) -> Option<Call> {
         if let Some(held) = &self.held {
             let used = Arc::strong_count(&held.usage) > 1;
             if used && now < held.deadline {
@@ -279,10 +284,10 @@
         Call::Put { record, condition }
     }
 
-    fn settled(&mut self, now: Instant) {
-        self.unsettled = false;
+    fn succeeded(&mut self, now: Instant) {
+        self.unconfirmed = false;
         self.failures = 0;
-        let waiting = self.wanted && self.held.is_none() && !self.free(now);
+        let waiting = self.wanted && self.held.is_none() && !self.is_free(now);
         let free_at = self.seen.as_ref().map(|seen| self.free_at(seen));
         let next_poll = now + self.options.poll;
         self.next_call = waiting.then(|| free_at.map_or(next_poll, |at| at.min(next_poll)));
--- a/crates/lease/src/lib.rs
+++ b/crates/lease/src/lib.rs
@@ -1,10 +1,10 @@
-//! Leases and fencing numbers over the platform's conditional updates.
+//! Leases and fencing numbers based on the platform's conditional updates.
 //!
 //! A [`Lease`] decides what to read and write and performs no calls itself;
-//! [`Driver`] joins it to a [`Store`](cactusnotch_objects::Store). A process
-//! acts on its right only with a [`Guard`], which carries the fencing number
-//! and the instant at which the right ends. `docs/design/lease.md` gives the
-//! argument for why two guards never overlap.
+//! [`Driver`] runs it against a [`Store`](cactusnotch_objects::Store). A
+//! process acts on its right only with a [`Guard`], which carries the fencing
+//! number and the instant at which the right expires. `docs/design/lease.md`
+//! gives the argument for why two guards never overlap.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/lease/src/options.rs
+++ b/crates/lease/src/options.rs
@@ -1,4 +1,4 @@
-//! The times of a lease.
+//! The durations of a lease.
 
 use std::time::Duration;
 
@@ -6,20 +6,21 @@
 
 const MILLION: u32 = 1_000_000;
 
-/// The times of a lease.
+/// The durations of a lease.
 #[record]
 pub struct Options {
     /// How long a lease lasts after its last renewal was sent.
     pub ttl: Duration,
     /// How long after a renewal was sent the next one is sent.
     pub renew: Duration,
-    /// How often a taker reads a lease that another process holds.
+    /// How often a process that wants to take over reads a lease that another
+    /// one holds.
     pub poll: Duration,
     /// The pause after a first failed call; it doubles with each failure.
     pub retry_min: Duration,
     /// The longest pause after a failed call.
     pub retry_max: Duration,
-    /// By how much a monotonic clock may run fast or slow, in parts per
+    /// The greatest deviation of a monotonic clock's rate, in parts per
     /// million, at most a tenth of a million.
     pub drift_ppm: u32,
 }
@@ -38,9 +39,9 @@
 }
 
 impl Options {
-    /// Returns how long a taker waits, on its own clock and from its first
-    /// sight of an unchanged version, until the holder of a lease of `ttl`
-    /// has lapsed on any clock within the drift.
+    /// Returns how long a process waits before it takes over a lease of `ttl`,
+    /// on its own clock and from its first observation of an unchanged version:
+    /// until the lease has expired on any clock within the drift.
     #[must_use]
     pub fn takeover(&self, ttl: Duration) -> Duration {
         let drift = self.drift_ppm.min(MILLION / 10);
--- a/crates/lease/src/record.rs
+++ b/crates/lease/src/record.rs
@@ -1,4 +1,4 @@
-//! A lease as the platform keeps it.
+//! The stored form of a lease.
 
 use std::time::Duration;
 
@@ -6,22 +6,22 @@
 use cactusnotch_base::number::{Fence, Sequence};
 use cactusnotch_derive::message;
 
-/// A lease as the platform keeps it, in an object of kind [`Record::KIND`].
+/// A lease as the platform stores it, in an object of kind [`Record::KIND`].
 #[message]
 pub struct Record {
-    /// The process that took the lease last.
+    /// The process that acquired the lease last.
     pub holder: Process,
-    /// A random number of the holder's life, which tells it from a
-    /// predecessor of the same name.
+    /// A random number of the holder's incarnation, which distinguishes it from
+    /// a predecessor of the same name.
     pub session: u64,
-    /// The holder's write that this is, so that a lost reply is settled by
+    /// The number of the holder's write, by which a lost reply is resolved by
     /// reading back.
     pub attempt: Sequence,
     /// The fencing number; it grows with each change of holder.
     pub fence: Fence,
     /// How long the lease lasts, in milliseconds.
     pub ttl_ms: u64,
-    /// Whether the holder has given the lease back.
+    /// Whether the holder has released the lease.
     pub released: bool,
 }
 
--- a/crates/lease/tests/holder.rs
+++ b/crates/lease/tests/holder.rs
@@ -1,4 +1,4 @@
-//! What one holder may believe: lost replies, pauses, releases.
+//! The right of one holder after lost replies, pauses and releases.
 
 use std::time::Duration;
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// Returns a lease that took over at `now` with version 8.
+/// Returns a lease that was acquired at `now` with version 8.
 fn acquired(now: Instant) -> Lease {
     let mut lease = Lease::new(Options::default(), "entry-0".into(), &mut rng());
     lease.acquire();
@@ -98,7 +98,8 @@
     drop(guard);
     let (ticket, record, _) = put(lease.poll(start + second(1)));
     assert!(record.released);
-    // Wanted again while the release is on its way: no right before a write.
+    // The lease is wanted again while the release is in flight: there is no
+    // right before a new write.
     lease.acquire();
     let lost = start + second(2);
     lease.answer(ticket, Answer::Unanswered, lost, &mut rng());
@@ -122,9 +123,9 @@
 
 /// A platform whose first write takes effect without an answer.
 #[derive(Debug, Clone, Default)]
-struct Forgetful(std::sync::Arc<std::sync::Mutex<(u64, Option<Object>)>>);
+struct FirstReplyLost(std::sync::Arc<std::sync::Mutex<(u64, Option<Object>)>>);
 
-impl Store for Forgetful {
+impl Store for FirstReplyLost {
     fn get(&self, _: &Path) -> Result<Option<Object>, store::Error> {
         Ok(self.0.lock().unwrap().1.clone())
     }
@@ -170,16 +171,16 @@
 fn the_driver_reads_back_after_an_unanswered_write() {
     let clock = Manual::new(second(0));
     let lease = Lease::new(Options::default(), "entry-0".into(), &mut rng());
-    let store = Forgetful::default();
+    let store = FirstReplyLost::default();
     let mut driver = Driver::new(store, clock.clone(), rng(), "group/a", lease);
     driver.lease().acquire();
-    assert!(driver.turn().unwrap());
+    assert!(driver.tick().unwrap());
     clock.advance(second(10));
-    let error = driver.turn().expect_err("the reply is lost");
+    let error = driver.tick().expect_err("the reply is lost");
     assert!(error.to_string().contains("lease/group/a"), "{error}");
     assert!(driver.check().is_none());
     clock.advance(second(1));
-    assert!(driver.turn().unwrap());
+    assert!(driver.tick().unwrap());
     assert_eq!(driver.check().expect("settled").fence(), Fence(1));
 }
 
--- a/crates/lease/tests/overlap.rs
+++ b/crates/lease/tests/overlap.rs
@@ -1,4 +1,5 @@
-//! Guards of two holders never overlap, whatever is late, lost or paused.
+//! Guards of two holders never overlap, whichever messages are late or lost and
+//! whichever processes are paused.
 
 use std::time::Duration;
 
@@ -19,9 +20,9 @@
     Options::default()
 }
 
-/// The lease's object and the calls that are on their way to it and back.
+/// The lease's object, with the calls and answers in flight.
 #[derive(Default)]
-struct Wire {
+struct Channel {
     version: u64,
     found: Option<Found>,
     history: Vec<Found>,
@@ -29,7 +30,7 @@
     answers: Vec<(u64, usize, Ticket, Answer)>,
 }
 
-impl Wire {
+impl Channel {
     fn run(&mut self, call: Call) -> Answer {
         let Call::Put { record, condition } = call else {
             return Answer::Read(self.found.clone());
@@ -57,17 +58,17 @@
     rate: u64,
     paused_until: u64,
     waiting: Option<(u64, Ticket)>,
-    kept: Option<Guard>,
+    kept_guard: Option<Guard>,
 }
 
 struct World {
     start: Instant,
     now: u64,
     rng: StdRng,
-    wire: Wire,
+    channel: Channel,
     members: Vec<Member>,
     fences: Vec<(usize, u64)>,
-    guarded: u64,
+    held_steps: u64,
 }
 
 impl World {
@@ -84,17 +85,17 @@
                 rate,
                 paused_until: 0,
                 waiting: None,
-                kept: None,
+                kept_guard: None,
             }
         });
         Self {
             start: clock::now(),
             now: 0,
-            wire: Wire::default(),
+            channel: Channel::default(),
             members: members.collect(),
             rng: StdRng::seed_from_u64(seed ^ 1),
             fences: Vec::new(),
-            guarded: 0,
+            held_steps: 0,
         }
     }
 
@@ -102,7 +103,8 @@
         self.start + Duration::from_micros(self.now * 1000 * self.members[at].rate / MILLION)
     }
 
-    /// A delay in milliseconds: mostly short, at times longer than a lease.
+    /// Returns a delay in milliseconds: mostly short, occasionally longer than
+    /// a lease.
     fn delay(&mut self) -> u64 {
         match self.rng.random_range(0..20) {
             0 => self.rng.random_range(1_000..25_000),
@@ -113,20 +115,20 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let due: Vec<_> = self.wire.calls.extract_if(.., |c| c.0 <= now).collect();
+        let due: Vec<_> = self.channel.calls.extract_if(.., |c| c.0 <= now).collect();
         for (_, at, ticket, call) in due {
-            let answer = self.wire.run(call);
+            let answer = self.channel.run(call);
             if !self.rng.random_bool(0.15) {
                 let back = now + self.delay();
-                self.wire.answers.push((back, at, ticket, answer));
+                self.channel.answers.push((back, at, ticket, answer));
             }
         }
-        let due = self.wire.answers.extract_if(.., |a| a.0 <= now);
+        let due = self.channel.answers.extract_if(.., |a| a.0 <= now);
         for (_, at, ticket, answer) in due.collect::<Vec<_>>() {
             // A paused process reads its socket when it resumes.
             if self.members[at].paused_until > now {
                 let resumed = self.members[at].paused_until;
-                self.wire.answers.push((resumed, at, ticket, answer));
+                self.channel.answers.push((resumed, at, ticket, answer));
                 continue;
             }
             let local = self.local(at);
@@ -136,7 +138,7 @@
         }
     }
 
-    fn turn(&mut self, at: usize) {
+    fn tick(&mut self, at: usize) {
         let local = self.local(at);
         if self.rng.random_bool(0.0005) {
             let pause = self.rng.random_range(500..30_000);
@@ -145,10 +147,10 @@
         if self.members[at].paused_until > self.now {
             return;
         }
-        // A watch brings old versions again.
-        if !self.wire.history.is_empty() && self.rng.random_bool(0.05) {
-            let stale = self.rng.random_range(0..self.wire.history.len());
-            let found = self.wire.history[stale].clone();
+        // A watch may deliver old versions again.
+        if !self.channel.history.is_empty() && self.rng.random_bool(0.05) {
+            let stale = self.rng.random_range(0..self.channel.history.len());
+            let found = self.channel.history[stale].clone();
             self.members[at].lease.observe(Some(found), local);
         }
         let now = self.now;
@@ -160,37 +162,40 @@
         match self.rng.random_range(0..400) {
             0 => member.lease.release(),
             1..6 => member.lease.acquire(),
-            6..20 => member.kept = member.lease.check(local),
-            20..40 => member.kept = None,
+            6..20 => member.kept_guard = member.lease.check(local),
+            20..40 => member.kept_guard = None,
             _ => {}
         }
         if let Some((ticket, call)) = member.lease.poll(local) {
             member.waiting = Some((now + 1_000, ticket));
             let arrival = now + self.delay();
-            self.wire.calls.push((arrival, at, ticket, call));
+            self.channel.calls.push((arrival, at, ticket, call));
         }
     }
 
-    /// Checks, in true time, that at most one process could act now: by its
-    /// lease or by a guard that it kept from before.
+    /// Checks, in true time, that at most one process could act now: under its
+    /// lease or with a guard from an earlier check.
     fn check(&mut self) -> Result<(), TestCaseError> {
         let mut holders = Vec::new();
         for at in 0..self.members.len() {
             let local = self.local(at);
             let member = &self.members[at];
-            let kept = member.kept.as_ref().filter(|guard| guard.check(local));
+            let kept_guard = member
+                .kept_guard
+                .as_ref()
+                .filter(|guard| guard.check(local));
             let fresh = member.lease.check(local);
-            if let Some(guard) = fresh.as_ref().or(kept) {
+            if let Some(guard) = fresh.as_ref().or(kept_guard) {
                 holders.push((at, guard.fence().0));
             }
         }
         prop_assert!(
             holders.len() <= 1,
-            "two may act at {}: {holders:?}",
+            "two processes may act at {}: {holders:?}",
             self.now
         );
         if let Some(&holder) = holders.first() {
-            self.guarded += 1;
+            self.held_steps += 1;
             let last = self.fences.last().copied().unwrap_or((usize::MAX, 0));
             if holder != last {
                 let grown = holder.1 > last.1;
@@ -217,11 +222,11 @@
             world.now += 10;
             world.deliver();
             for at in 0..HOLDERS {
-                world.turn(at);
+                world.tick(at);
             }
             world.check()?;
         }
-        prop_assert!(world.guarded > 1_000, "the lease was hardly held");
+        prop_assert!(world.held_steps > 1_000, "the lease was hardly held");
         prop_assert!(world.fences.len() > 2, "the holder never changed");
     }
 }
--- a/crates/order/src/model.rs
+++ b/crates/order/src/model.rs
@@ -1,11 +1,11 @@
-//! Orders to model engines.
+//! The orders to model engines.
 
 use cactusnotch_base::name::Model;
 use cactusnotch_derive::message;
 
 use crate::wanted::{Progress, Wanted};
 
-/// What a model engine shall hold or be.
+/// A state that a model engine must have.
 #[message]
 #[derive(Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
@@ -35,20 +35,20 @@
     Role(Role),
 }
 
-/// The part of the work that an engine takes.
+/// The kind of work that an engine does.
 #[message]
 #[derive(Copy, Eq, Hash)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Prompts and answers.
+    /// Prefill and decode.
     Mixed,
-    /// Prompts only.
+    /// Prefill only.
     Prefill,
-    /// Answers only.
+    /// Decode only.
     Decode,
 }
 
-/// What a model engine reports to `GET /orders`.
+/// The state that a model engine reports in answer to `GET /orders`.
 #[message]
 #[derive(Eq, Hash)]
 pub struct State {
@@ -58,18 +58,18 @@
     pub adapters: Vec<(Model, String)>,
     /// The role of the engine.
     pub role: Role,
-    /// What the engine is at work on.
+    /// The requirements that the engine is working on.
     pub underway: Vec<Requirement>,
-    /// What the engine has tried and cannot do.
+    /// The requirements that the engine has attempted and cannot meet.
     pub failed: Vec<Requirement>,
 }
 
 impl State {
-    fn has(&self, wish: &Requirement) -> bool {
+    fn has(&self, requirement: &Requirement) -> bool {
         let loaded = |list: &[(Model, String)], model: &Model, name: &String| {
             list.iter().any(|(m, n)| m == model && n == name)
         };
-        match wish {
+        match requirement {
             Requirement::Version { model, version } => loaded(&self.versions, model, version),
             Requirement::Adapter { model, adapter } => loaded(&self.adapters, model, adapter),
             Requirement::NoAdapter { model, adapter } => !loaded(&self.adapters, model, adapter),
--- a/crates/order/src/sender.rs
+++ b/crates/order/src/sender.rs
@@ -1,4 +1,4 @@
-//! The sender of orders to one engine.
+//! Sends orders to one engine.
 
 use std::time::Duration;
 
@@ -15,20 +15,22 @@
 pub enum Fencing {
     /// The engine refuses an order with a smaller number than it has seen.
     Checked,
-    /// The engine ignores the number. The sender then waits out the former
-    /// holder's lease and reads the engine before and after each order.
+    /// The engine ignores the number. The sender then waits until the former
+    /// holder's lease has expired, and reads the engine before and after each
+    /// order.
     Ignored,
 }
 
-/// How a [`Sender`] treats its engine.
+/// The options of a [`Sender`].
 #[record]
 #[derive(Copy, Hash)]
 pub struct Options {
     /// Whether the engine checks fencing numbers.
     pub fencing: Fencing,
-    /// How long the former holder may go on sending.
+    /// How long the former holder may continue to send.
     pub lease: Duration,
-    /// How long an answer is awaited, and how often work underway is read.
+    /// The time limit for an answer, and the interval at which work underway is
+    /// read.
     pub retry: Duration,
 }
 
@@ -42,32 +44,32 @@
     }
 }
 
-/// What happened to a sender.
+/// An input of a sender.
 #[record]
 pub enum Event<W: Wanted> {
-    /// A state is wanted; older wants that it supersedes are dropped.
+    /// A state is wanted; older wanted states that it supersedes are dropped.
     Want(W),
-    /// The state of the engine shall be read, whether or not work is left.
+    /// The engine's state must be read, whether or not work is left.
     Refresh,
     /// The engine answered an order or a read.
     Answer {
         /// The fencing number that is answered.
         fence: Fence,
-        /// Whether the order was taken.
+        /// Whether the order was accepted.
         reply: Reply,
     },
-    /// The time of the last [`Command::Wake`] has come.
+    /// The time of the last [`Command::Wake`] has passed.
     Wake,
 }
 
-/// What the driver of a sender is to do.
+/// An output of a sender, for its driver to carry out.
 #[record]
 pub enum Command<W> {
     /// Send the order to the engine.
     Send(Order<W>),
-    /// Read the engine's state and answer with this number.
+    /// Read the engine's state and return it in an answer with this number.
     Read(Fence),
-    /// Wake the sender after this time; replaces an earlier wake.
+    /// Wake the sender after this time; replaces an earlier wake-up.
     Wake(Duration),
     /// A wanted state is settled.
     Settled(W, Settlement),
@@ -77,14 +79,14 @@
 #[record]
 #[derive(Copy)]
 pub enum Settlement {
-    /// The engine reports it as so.
+    /// The engine reports that it has the state.
     Done,
-    /// The engine refused it, or cannot come to it any more.
+    /// The engine refused it, or can no longer reach it.
     Refused,
-    /// The order is not idempotent, was sent, and the engine knows nothing
-    /// of it: whether it took effect, or still will, is not known.
+    /// The order is not idempotent and was sent, but the engine's state does
+    /// not show it: whether it took effect, or will do so later, is unknown.
     Unknown,
-    /// A newer sender has taken the engine over: this one must stop.
+    /// A newer sender has taken over the engine: this one must stop.
     Superseded,
 }
 
@@ -93,9 +95,9 @@
 struct Entry<W> {
     wanted: W,
     sent: bool,
-    /// Whether a superseded order may still arrive, so that the engine's state
-    /// says nothing until this one has been sent after it.
-    contested: bool,
+    /// Whether a superseded order may still arrive. The engine's state is not
+    /// conclusive then until this order has been sent after it.
+    superseding_sent: bool,
 }
 
 #[record]
@@ -107,13 +109,13 @@
     Ordering(Fence),
 }
 
-/// The sender of orders to one engine; it has one order in flight at a time.
+/// Sends orders to one engine, with one order in flight at a time.
 #[record]
 #[derive(Hash)]
 pub struct Sender<W> {
     options: Options,
     incarnation: Incarnation,
-    opens: Option<Instant>,
+    sends_from: Option<Instant>,
     sequence: u32,
     flight: Flight,
     fresh: bool,
@@ -125,14 +127,14 @@
 impl<W: Wanted> Sender<W> {
     /// Creates the sender of agent `incarnation`, which took over at `now`.
     ///
-    /// `takeover` tells whether a former holder may still send.
+    /// `takeover` is whether a former holder may still send.
     #[must_use]
     pub fn new(options: Options, incarnation: Incarnation, takeover: bool, now: Instant) -> Self {
         let waits = takeover && options.fencing == Fencing::Ignored;
         Self {
             options,
             incarnation,
-            opens: waits.then(|| now + options.lease),
+            sends_from: waits.then(|| now + options.lease),
             sequence: 0,
             flight: Flight::Idle,
             fresh: false,
@@ -142,7 +144,7 @@
         }
     }
 
-    /// Tells whether nothing is wanted and nothing is in flight.
+    /// Returns whether no state is wanted and nothing is in flight.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.entries.is_empty() && self.flight == Flight::Idle && !self.refresh
@@ -153,11 +155,11 @@
         self.entries.iter().map(|entry| &entry.wanted)
     }
 
-    /// Takes in `event` at `now`; `state` is the engine's state that came
-    /// with an [`Event::Answer`].
+    /// Handles `event` at `now`; `state` is the engine's state that came with
+    /// an [`Event::Answer`].
     ///
-    /// An answer to anything but the order or read in flight is dropped: it
-    /// is late, and the state in it may be out of date.
+    /// An answer to anything but the order or read in flight is dropped: it is
+    /// late, and its state may be out of date.
     pub fn step(
         &mut self,
         event: Event<W>,
@@ -183,19 +185,19 @@
             return;
         }
         let superseded = |entry: &Entry<W>| wanted.supersedes(&entry.wanted);
-        let contested = self
+        let superseding_sent = self
             .entries
             .iter()
-            .any(|entry| superseded(entry) && (entry.sent || entry.contested));
+            .any(|entry| superseded(entry) && (entry.sent || entry.superseding_sent));
         self.entries.retain(|entry| !superseded(entry));
         self.entries.push(Entry {
             wanted,
             sent: false,
-            contested,
+            superseding_sent,
         });
     }
 
-    /// Tells whether an answer with this number is the one awaited.
+    /// Returns whether the order or read in flight has this number.
     #[must_use]
     pub fn awaits(&self, fence: Fence) -> bool {
         self.flight == Flight::Reading(fence) || self.flight == Flight::Ordering(fence)
@@ -232,7 +234,8 @@
         }
     }
 
-    /// Gives up the answer in flight and reads back what an order did.
+    /// Stops waiting for the answer in flight and reads back the effect of an
+    /// order.
     fn wake(&mut self) {
         self.flight = Flight::Idle;
         self.refresh |= self.entries.first().is_some_and(|entry| entry.sent);
@@ -259,11 +262,11 @@
         }
     }
 
-    /// Settles the head of the queue, and what follows it, as far as the
-    /// engine's state tells.
+    /// Settles the head of the queue and the entries that follow, while the
+    /// engine's state is conclusive.
     fn settle(&mut self, state: &W::State, commands: &mut Vec<Command<W>>) {
         while let Some(entry) = self.entries.first() {
-            if entry.contested && !entry.sent {
+            if entry.superseding_sent && !entry.sent {
                 return;
             }
             let settlement = match entry.wanted.progress(state) {
@@ -286,11 +289,11 @@
         if self.stopped || self.flight != Flight::Idle {
             return;
         }
-        if let Some(opens) = self.opens.filter(|opens| *opens > now) {
-            commands.push(Command::Wake(opens - now));
+        if let Some(sends_from) = self.sends_from.filter(|sends_from| *sends_from > now) {
+            commands.push(Command::Wake(sends_from - now));
             return;
         }
-        self.opens = None;
+        self.sends_from = None;
         if self.refresh || self.must_read_first() {
             self.read(commands);
         } else {
--- a/crates/order/src/wanted.rs
+++ b/crates/order/src/wanted.rs
@@ -1,32 +1,32 @@
-//! What an order asks for, and how the engine's state answers it.
+//! The states that orders ask for, and the engine's progress towards them.
 
 /// A state that an agent wants its engine to have.
 pub trait Wanted: Clone + PartialEq {
-    /// What the engine reports when it is read.
+    /// The state that the engine reports when it is read.
     type State;
 
-    /// Tells whether `other` concerns the same part of the engine, so that
-    /// the newer of the two supersedes the older.
+    /// Returns whether `other` concerns the same part of the engine, in which
+    /// case the newer of the two supersedes the older.
     fn supersedes(&self, other: &Self) -> bool;
 
-    /// Returns how far the engine is, judged by the state it reports.
+    /// Returns the engine's progress, given the state that it reports.
     fn progress(&self, state: &Self::State) -> Progress;
 
-    /// Tells whether the order may be sent again after a lost reply.
+    /// Returns whether the order may be sent again after a lost reply.
     fn is_idempotent(&self) -> bool {
         true
     }
 }
 
-/// How far an engine is with a wanted state.
+/// An engine's progress towards a wanted state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Progress {
-    /// The state is so.
+    /// The engine has the state.
     Done,
-    /// The engine is at work on it.
+    /// The engine is working on it.
     Underway,
-    /// The engine knows nothing of it.
+    /// The engine's state does not show it.
     Absent,
-    /// The engine cannot come to this state any more.
+    /// The engine can no longer reach the state.
     Impossible,
 }
--- a/crates/order/tests/sender.rs
+++ b/crates/order/tests/sender.rs
@@ -1,4 +1,5 @@
-//! The sender of orders against engines that check fencing numbers or not.
+//! The sender of orders against engines that check fencing numbers or ignore
+//! them.
 
 use std::time::Duration;
 
@@ -10,10 +11,10 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 
-/// A wish about one of two parts of an engine, or a count that must not run
+/// A setting of one of two parts of an engine, or a count that must not run
 /// twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Wish {
+enum Setting {
     Set(bool, u8),
     Count,
 }
@@ -24,7 +25,7 @@
     count: u32,
 }
 
-impl Wanted for Wish {
+impl Wanted for Setting {
     type State = State;
 
     fn supersedes(&self, other: &Self) -> bool {
@@ -63,36 +64,36 @@
         }
     }
 
-    fn take(&mut self, order: &Order<Wish>) -> Reply {
+    fn apply(&mut self, order: &Order<Setting>) -> Reply {
         if self.checks && order.fence < self.fence {
             return Reply::Fenced;
         }
         self.fence = self.fence.max(order.fence);
         match order.wanted {
-            Wish::Set(part, value) => self.state.set[usize::from(part)] = value,
-            Wish::Count => self.state.count += 1,
+            Setting::Set(part, value) => self.state.set[usize::from(part)] = value,
+            Setting::Count => self.state.count += 1,
         }
         Reply::Taken
     }
 }
 
-/// What is on its way between a sender and its engine.
+/// A packet in flight between a sender and its engine.
 #[derive(Debug, Clone)]
 enum Packet {
-    Order(Order<Wish>),
+    Order(Order<Setting>),
     Read(Fence),
     Answer(Fence, Reply, State),
 }
 
-struct Line {
-    sender: Sender<Wish>,
+struct Link {
+    sender: Sender<Setting>,
     engine: Engine,
-    net: Vec<Packet>,
-    settled: Vec<(Wish, Settlement)>,
+    in_flight: Vec<Packet>,
+    settled: Vec<(Setting, Settlement)>,
     now: Instant,
 }
 
-impl Line {
+impl Link {
     fn new(fencing: Fencing) -> Self {
         let options = Options {
             fencing,
@@ -102,18 +103,18 @@
         Self {
             sender: Sender::new(options, Incarnation(1), false, now),
             engine: Engine::new(fencing == Fencing::Checked),
-            net: Vec::new(),
+            in_flight: Vec::new(),
             settled: Vec::new(),
             now,
         }
     }
 
-    fn step(&mut self, event: Event<Wish>, state: Option<&State>) {
+    fn step(&mut self, event: Event<Setting>, state: Option<&State>) {
         for command in self.sender.step(event, state, self.now) {
             match command {
-                Command::Send(order) => self.net.push(Packet::Order(order)),
-                Command::Read(fence) => self.net.push(Packet::Read(fence)),
-                Command::Settled(wish, how) => self.settled.push((wish, how)),
+                Command::Send(order) => self.in_flight.push(Packet::Order(order)),
+                Command::Read(fence) => self.in_flight.push(Packet::Read(fence)),
+                Command::Settled(setting, settlement) => self.settled.push((setting, settlement)),
                 Command::Wake(_) => {}
             }
         }
@@ -122,13 +123,15 @@
     fn deliver(&mut self, packet: Packet) {
         match packet {
             Packet::Order(order) => {
-                let reply = self.engine.take(&order);
+                let reply = self.engine.apply(&order);
                 let state = self.engine.state.clone();
-                self.net.push(Packet::Answer(order.fence, reply, state));
+                self.in_flight
+                    .push(Packet::Answer(order.fence, reply, state));
             }
             Packet::Read(fence) => {
                 let state = self.engine.state.clone();
-                self.net.push(Packet::Answer(fence, Reply::Taken, state));
+                self.in_flight
+                    .push(Packet::Answer(fence, Reply::Taken, state));
             }
             Packet::Answer(fence, reply, state) => {
                 self.step(Event::Answer { fence, reply }, Some(&state));
@@ -138,8 +141,8 @@
 
     fn run(&mut self) {
         for _ in 0..20 {
-            while !self.net.is_empty() {
-                let packet = self.net.remove(0);
+            while !self.in_flight.is_empty() {
+                let packet = self.in_flight.remove(0);
                 self.deliver(packet);
             }
             if self.sender.is_idle() {
@@ -147,36 +150,36 @@
             }
             self.step(Event::Wake, None);
         }
-        panic!("the sender does not come to an end");
+        panic!("the sender does not become idle");
     }
 }
 
 #[test]
 fn a_lost_reply_is_settled_by_reading_and_not_by_sending_again() {
-    let mut line = Line::new(Fencing::Ignored);
-    line.step(Event::Want(Wish::Count), None);
-    while !matches!(line.net[..], [Packet::Order(_)]) {
-        let packet = line.net.remove(0);
-        line.deliver(packet);
+    let mut link = Link::new(Fencing::Ignored);
+    link.step(Event::Want(Setting::Count), None);
+    while !matches!(link.in_flight[..], [Packet::Order(_)]) {
+        let packet = link.in_flight.remove(0);
+        link.deliver(packet);
     }
-    let packet = line.net.remove(0);
-    line.deliver(packet);
-    line.net.clear();
-    line.step(Event::Wake, None);
-    line.run();
-    assert_eq!(line.engine.state.count, 1, "the order ran once");
-    assert_eq!(line.settled, [(Wish::Count, Settlement::Done)]);
+    let packet = link.in_flight.remove(0);
+    link.deliver(packet);
+    link.in_flight.clear();
+    link.step(Event::Wake, None);
+    link.run();
+    assert_eq!(link.engine.state.count, 1, "the order ran once");
+    assert_eq!(link.settled, [(Setting::Count, Settlement::Done)]);
 }
 
 #[test]
 fn a_lost_order_that_must_not_run_twice_is_reported_as_unknown() {
-    let mut line = Line::new(Fencing::Checked);
-    line.step(Event::Want(Wish::Count), None);
-    line.net.clear();
-    line.step(Event::Wake, None);
-    line.run();
-    assert_eq!(line.engine.state.count, 0, "the order was not sent again");
-    assert_eq!(line.settled, [(Wish::Count, Settlement::Unknown)]);
+    let mut link = Link::new(Fencing::Checked);
+    link.step(Event::Want(Setting::Count), None);
+    link.in_flight.clear();
+    link.step(Event::Wake, None);
+    link.run();
+    assert_eq!(link.engine.state.count, 0, "the order was not sent again");
+    assert_eq!(link.settled, [(Setting::Count, Settlement::Unknown)]);
 }
 
 #[test]
@@ -188,7 +191,7 @@
     };
     let now = clock::now();
     let mut sender = Sender::new(options, Incarnation(2), true, now);
-    let first = sender.step(Event::Want(Wish::Set(false, 1)), None, now);
+    let first = sender.step(Event::Want(Setting::Set(false, 1)), None, now);
     assert_eq!(first, [Command::Wake(options.lease)]);
     let later = sender.step(Event::Wake, None, now + options.lease);
     assert!(matches!(later[0], Command::Read(_)), "it reads first");
@@ -197,23 +200,26 @@
         ..options
     };
     let mut sender = Sender::new(options, Incarnation(2), true, now);
-    let first = sender.step(Event::Want(Wish::Set(false, 1)), None, now);
+    let first = sender.step(Event::Want(Setting::Set(false, 1)), None, now);
     assert!(matches!(first[0], Command::Send(_)), "it sends at once");
 }
 
 #[test]
 fn a_superseded_sender_stops() {
-    let mut line = Line::new(Fencing::Checked);
-    line.engine.fence = Fence(u64::MAX);
-    line.step(Event::Want(Wish::Set(true, 1)), None);
-    line.run();
-    assert_eq!(line.settled, [(Wish::Set(true, 1), Settlement::Superseded)]);
-    line.step(Event::Want(Wish::Set(true, 2)), None);
-    assert!(line.net.is_empty(), "it sends nothing any more");
+    let mut link = Link::new(Fencing::Checked);
+    link.engine.fence = Fence(u64::MAX);
+    link.step(Event::Want(Setting::Set(true, 1)), None);
+    link.run();
+    assert_eq!(
+        link.settled,
+        [(Setting::Set(true, 1), Settlement::Superseded)]
+    );
+    link.step(Event::Want(Setting::Set(true, 2)), None);
+    assert!(link.in_flight.is_empty(), "it sends nothing any more");
 }
 
 #[derive(Debug, Clone)]
-enum Happening {
+enum Step {
     Want(bool, u8),
     Deliver(usize),
     Lose(usize),
@@ -221,13 +227,13 @@
     Wake,
 }
 
-fn happenings() -> impl Strategy<Value = Vec<Happening>> {
+fn steps() -> impl Strategy<Value = Vec<Step>> {
     let one = prop_oneof![
-        3 => (any::<bool>(), 0_u8..4).prop_map(|(part, value)| Happening::Want(part, value)),
-        8 => (0_usize..8).prop_map(Happening::Deliver),
-        1 => (0_usize..8).prop_map(Happening::Lose),
-        1 => (0_usize..8).prop_map(Happening::Repeat),
-        2 => Just(Happening::Wake),
+        3 => (any::<bool>(), 0_u8..4).prop_map(|(part, value)| Step::Want(part, value)),
+        8 => (0_usize..8).prop_map(Step::Deliver),
+        1 => (0_usize..8).prop_map(Step::Lose),
+        1 => (0_usize..8).prop_map(Step::Repeat),
+        2 => Just(Step::Wake),
     ];
     prop::collection::vec(one, 0..60)
 }
@@ -240,38 +246,38 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever is lost, late or repeated, an engine that checks fencing
-    /// numbers ends in the state that was wanted last.
+    /// Whatever packets are lost, late or repeated, an engine that checks
+    /// fencing numbers ends in the state that was wanted last.
     #[test]
-    fn the_last_wish_holds_in_the_end(happenings in happenings()) {
-        let mut line = Line::new(Fencing::Checked);
+    fn the_last_wish_holds_in_the_end(steps in steps()) {
+        let mut link = Link::new(Fencing::Checked);
         let mut wanted = [0, 0];
-        for happening in happenings {
-            match happening {
-                Happening::Want(part, value) => {
+        for step in steps {
+            match step {
+                Step::Want(part, value) => {
                     wanted[usize::from(part)] = value;
-                    line.step(Event::Want(Wish::Set(part, value)), None);
+                    link.step(Event::Want(Setting::Set(part, value)), None);
                 }
-                Happening::Deliver(at) if at < line.net.len() => {
-                    let packet = line.net.remove(at);
-                    line.deliver(packet);
+                Step::Deliver(at) if at < link.in_flight.len() => {
+                    let packet = link.in_flight.remove(at);
+                    link.deliver(packet);
                 }
-                Happening::Lose(at) if at < line.net.len() => {
-                    line.net.remove(at);
+                Step::Lose(at) if at < link.in_flight.len() => {
+                    link.in_flight.remove(at);
                 }
-                Happening::Repeat(at) if at < line.net.len() => {
-                    let packet = line.net[at].clone();
-                    line.deliver(packet);
+                Step::Repeat(at) if at < link.in_flight.len() => {
+                    let packet = link.in_flight[at].clone();
+                    link.deliver(packet);
                 }
-                Happening::Wake => line.step(Event::Wake, None),
+                Step::Wake => link.step(Event::Wake, None),
                 _ => {}
             }
         }
-        line.run();
-        while !line.net.is_empty() {
-            let packet = line.net.remove(0);
-            line.deliver(packet);
+        link.run();
+        while !link.in_flight.is_empty() {
+            let packet = link.in_flight.remove(0);
+            link.deliver(packet);
         }
-        prop_assert_eq!(line.engine.state.set, wanted);
+        prop_assert_eq!(link.engine.state.set, wanted);
     }
 }
--- a/crates/rebalance/src/agent/tell.rs
+++ b/crates/rebalance/src/agent/tell.rs
@@ -120,9 +120,7 @@
         }
         match self.endpoint.held().await {
             Ok((version, held)) => self.held = Some((place.epoch, version, held)),
-            Err(error) => {
-                tracing::warn!(%error, "held experts could not be read from the endpoint")
-            }
+            Err(error) => tracing::warn!(%error, "reading held experts failed"),
         }
     }
 
@@ -137,7 +135,7 @@
         let counts = match self.endpoint.counts().await {
             Ok(counts) => counts,
             Err(error) => {
-                tracing::warn!(%error, "expert counts could not be read from the endpoint");
+                tracing::warn!(%error, "reading expert counts failed");
                 return;
             }
         };
--- a/crates/rebalance/tests/agreement.rs
+++ b/crates/rebalance/tests/agreement.rs
@@ -1,5 +1,5 @@
-//! In every pass all ranks use one map, whatever happens to orders, messages,
-//! agents and ranks.
+//! In every pass all ranks use one map, whatever faults affect orders, messages, agents and
+//! ranks.
 
 mod world;
 
@@ -10,19 +10,19 @@
     late: 0,
     kills: 0,
     freezes: 0,
-    lead_freezes: 0,
-    giver_freezes: 0,
+    leader_freezes: 0,
+    issuer_freezes: 0,
     crashes: 0,
 };
-/// Ticks of a run with faults, and of the calm after it.
-const RUN: u64 = 3_000;
-const CALM: u64 = 2_000;
+/// The ticks of a run with faults, and of the period without faults after it.
+const FAULTY: u64 = 3_000;
+const QUIET: u64 = 2_000;
 
 fn run(name: &str, seeds: std::ops::Range<u64>, faults: Faults, held_max: u64) {
     let mut longest = 0;
     for seed in seeds {
         println!("{name}: seed {seed}");
-        let outcome = World::new(seed, faults).run(RUN, CALM);
+        let outcome = World::new(seed, faults).run(FAULTY, QUIET);
         longest = longest.max(outcome.held_max);
     }
     assert!(
@@ -60,55 +60,55 @@
     );
 }
 
-/// The longest time that a group is held whose leader stands still, in ticks:
-/// the patience of rank 1 and a few messages. If the leader's last word is lost
-/// to all other ranks, the group waits for the leader.
+/// The longest time that a group is held whose leader is frozen, in ticks: the timeout of
+/// rank 1 and a few messages. If the leader's last message is lost to all other ranks, the
+/// group waits for the leader.
 const HELD_MAX: u64 = 90;
 
 #[test]
 fn a_group_is_let_go_though_its_leader_stands_still() {
     let faults = Faults {
-        lead_freezes: 100,
+        leader_freezes: 100,
         ..NONE
     };
     let held = (0..300).map(|seed| {
         println!("leader: seed {seed}");
-        World::new(seed, faults).run(RUN, CALM).held_any
+        World::new(seed, faults).run(FAULTY, QUIET).held_any
     });
     let longest = held.max().unwrap_or(0);
     assert!(
         longest >= 40,
-        "the leader never stood still in a round that was held: {longest}"
+        "the leader was never frozen in a round that was held: {longest}"
     );
     assert!(longest <= HELD_MAX, "a group was held for {longest} ticks");
 }
 
-/// The longest time that a group is held after the host that gave the order has fallen
-/// silent, in ticks: what ranks may take to say that they are there, and a few looks.
-const SILENT_GIVER_MAX: u64 = 36;
+/// The longest time that a group is held after the host that gave the order has become
+/// unresponsive, in ticks: the time that ranks have to confirm, and a few polls.
+const FROZEN_ISSUER_MAX: u64 = 36;
 
-/// Pattern: the host that has just given an order stands still for one to five seconds,
-/// and neither it nor its endpoint answers. Held by its own order, a group of 8 ranks
-/// made no pass for four seconds, and all its streams were late or lost.
+/// Fails if the host that has just given an order freezes for one to five seconds and
+/// neither it nor its endpoint answers. Held by an order to its own endpoint, a group of 8
+/// ranks made no pass for four seconds, and all its streams were late or lost.
 #[test]
 fn a_group_is_let_go_though_the_host_that_held_it_stands_still() {
     let faults = Faults {
-        giver_freezes: 30,
+        issuer_freezes: 30,
         ..NONE
     };
     let held = (0..300).map(|seed| {
-        println!("giver: seed {seed}");
-        World::new(seed, faults).run(RUN, CALM).held_any
+        println!("issuer: seed {seed}");
+        World::new(seed, faults).run(FAULTY, QUIET).held_any
     });
     let longest = held.max().unwrap_or(0);
     assert!(
-        longest <= SILENT_GIVER_MAX,
+        longest <= FROZEN_ISSUER_MAX,
         "a group was held for {longest} ticks"
     );
 }
 
-/// A leader that is killed while ranks load leaves a version that only some
-/// have had; the next one must not give it to another map.
+/// A leader that is killed while ranks load leaves a version that only some ranks have
+/// received; the next leader must not give it to another map.
 #[test]
 fn maps_agree_when_agents_are_killed_often_and_messages_are_late() {
     let faults = Faults {
@@ -139,15 +139,15 @@
         late: 300,
         kills: 40,
         freezes: 40,
-        lead_freezes: 20,
-        giver_freezes: 10,
+        leader_freezes: 20,
+        issuer_freezes: 10,
         crashes: 15,
     };
     run("all", 0..400, faults, 400);
 }
 
-/// Pattern: a group of 96 ranks, of which one is killed, stands still or crashes far more
-/// often than one of three, and where nearly every round loses some message.
+/// In a group of 96 ranks some rank is killed, frozen or crashed far more often than in one
+/// of three, and nearly every round loses some message.
 #[test]
 fn maps_agree_in_a_group_of_ninety_six_ranks() {
     let faults = Faults {
@@ -155,8 +155,8 @@
         late: 20,
         kills: 10,
         freezes: 10,
-        lead_freezes: 10,
-        giver_freezes: 5,
+        leader_freezes: 10,
+        issuer_freezes: 5,
         crashes: 5,
     };
     for seed in 0..4 {
--- a/crates/rebalance/tests/coordinator.rs
+++ b/crates/rebalance/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! What one coordinator does with the words of its ranks.
+//! The reactions of a coordinator to the status reports of its ranks.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 use cactusnotch_rebalance::threshold::Threshold;
 use cactusnotch_rebalance::{Pace, Shape};
 
-/// The price of a copy: next to nothing, so that rounds follow each other.
+/// The gain required of a copy: next to nothing, which makes rounds follow each other.
 const THRESHOLD: Threshold = Threshold {
     relaxed: 0.01,
     saturated: 0.01,
@@ -60,7 +60,7 @@
     Coordinator::new(place(0), SHAPE, options, term)
 }
 
-/// Begins a round and returns it with its version.
+/// Begins a round and returns the coordinator with the round's version.
 fn begin(term: u64, now: Instant) -> (Coordinator, u64) {
     let mut lead = coordinator(term);
     for rank in 0..2 {
@@ -111,7 +111,7 @@
     assert_eq!(
         lead.hold_request(&loaded, now),
         None,
-        "not before it has seen that"
+        "not before the coordinator has evaluated it"
     );
     assert_eq!(lead.step(&loaded, now), (None, None));
     let asked = lead.hold_request(&loaded, now);
@@ -119,19 +119,19 @@
     assert_eq!(
         lead.hold_request(&loaded, now),
         None,
-        "the rank is given some time"
+        "the rank has some time to answer"
     );
     let later = now + Duration::from_millis(70);
     assert!(lead.hold_request(&loaded, later).is_some());
     assert_eq!(
         lead.round().phase,
         Phase::Commit,
-        "it says that it is committed, and no rank is armed before the hold is seen"
+        "the round is announced as committed, and no rank is armed before the hold is seen"
     );
 }
 
-/// Returns the coordinator of a group that another rank has held before pass 12, once all
-/// ranks had loaded, and what its own endpoint reports.
+/// Returns the coordinator of a group that another rank has held before pass 12, after all
+/// ranks had loaded, and the report of its own endpoint.
 fn held(now: Instant) -> (Coordinator, Maps) {
     let (mut lead, version) = begin(3, now);
     let loaded = Maps {
@@ -157,14 +157,14 @@
 fn ranks_are_armed_once_the_one_that_has_held_the_group_is_there() {
     let now = clock::now();
     let (mut lead, maps) = held(now);
-    let there = |met| Status {
+    let confirmation = |met| Status {
         met,
         ..status(1, 3, Maps { held: None, ..maps })
     };
-    lead.record(there(Some(11)), now);
+    lead.record(confirmation(Some(11)), now);
     lead.step(&maps, now);
     assert_eq!(lead.round().phase, Phase::Meet { step: 12 }, "another pass");
-    lead.record(there(Some(12)), now);
+    lead.record(confirmation(Some(12)), now);
     let version = lead.round().version;
     let arm = Order::Arm { version, step: 12 };
     assert_eq!(lead.step(&maps, now), (Some(arm), None));
@@ -192,23 +192,31 @@
         [1]
     );
     let later = now + Duration::from_millis(200);
-    // First its own rank gives the map up, so that nobody can arm it any more.
+    // First its own rank reverts to the map in force, after which no agent can arm the new
+    // one.
     let (order, event) = lead.step(&maps, later);
     assert_eq!(event, Some(Event::Released(12)));
     let version = lead.round().version;
-    let Some(Order::Prepare { version: anew, .. }) = order else {
+    let Some(Order::Prepare {
+        version: reverted, ..
+    }) = order
+    else {
         panic!("{order:?}");
     };
-    assert!(anew > version);
+    assert!(reverted > version);
     assert_eq!(lead.round().phase, Phase::Meet { step: 12 });
-    let undone = Maps {
+    let unloaded = Maps {
         prepared: None,
         ..maps
     };
     let go = Order::Go { step: 12 };
-    assert_eq!(lead.step(&undone, later), (Some(go), None));
+    assert_eq!(lead.step(&unloaded, later), (Some(go), None));
     assert_eq!(lead.round().phase, Phase::Rest);
-    assert_eq!(lead.round().version, anew, "no other map gets that version");
+    assert_eq!(
+        lead.round().version,
+        reverted,
+        "no other map gets that version"
+    );
 }
 
 #[test]
@@ -325,7 +333,11 @@
             break;
         }
     }
-    assert!(lead.round().version > version, "the round is another one");
+    assert!(lead.round().version > version, "the round was replaced");
     let brings = lead.round().moves.iter().map(|step| step.new);
-    assert_eq!(brings.collect::<Vec<_>>(), [Some(3)], "what is popular now");
+    assert_eq!(
+        brings.collect::<Vec<_>>(),
+        [Some(3)],
+        "the expert that is popular now"
+    );
 }
--- a/crates/rebalance/tests/datagrams.rs
+++ b/crates/rebalance/tests/datagrams.rs
@@ -1,5 +1,5 @@
-//! Datagrams of entries and agents whose bytes were spoilt are refused or read, and never
-//! stop the process that gets them.
+//! Corrupted datagrams of entries and agents are refused or decoded, and never stop the
+//! process that receives them.
 
 use std::net::SocketAddr;
 
@@ -30,7 +30,7 @@
     }
 }
 
-fn of_agents() -> Vec<Datagram> {
+fn agent_datagrams() -> Vec<Datagram> {
     let (units, counts) = pack(&[1, 2, 300, 4], 2);
     let part = Part {
         group: "g".to_owned(),
@@ -89,7 +89,7 @@
     ]
 }
 
-fn of_entries() -> Vec<peer::Datagram> {
+fn entry_datagrams() -> Vec<peer::Datagram> {
     let entry = peer::Entry {
         host: "a".to_owned(),
         data_centre: "z".to_owned(),
@@ -133,7 +133,7 @@
     ]
 }
 
-fn spoil(mut bytes: Vec<u8>, rng: &mut SmallRng) -> Vec<u8> {
+fn corrupt(mut bytes: Vec<u8>, rng: &mut SmallRng) -> Vec<u8> {
     for _ in 0..rng.random_range(1..6) {
         if bytes.is_empty() {
             break;
@@ -149,11 +149,11 @@
     bytes
 }
 
-/// Reads a spoilt copy of each datagram, as both sides would.
-fn read<T: Serialize>(datagrams: &[T], rng: &mut SmallRng) {
+/// Decodes a corrupted copy of each datagram, as both receivers would.
+fn decode_corrupted<T: Serialize>(datagrams: &[T], rng: &mut SmallRng) {
     for whole in datagrams {
-        let bytes = spoil(datagram::encode(whole), rng);
-        // Either is fine; a panic is not.
+        let bytes = corrupt(datagram::encode(whole), rng);
+        // Both results are allowed, but not a panic.
         drop(datagram::decode::<Datagram>(&bytes));
         drop(datagram::decode::<peer::Datagram>(&bytes));
     }
@@ -166,19 +166,19 @@
         .and_then(|s| s.parse().ok());
     for seed in 0..seeds.unwrap_or(500_u64) {
         let mut rng = SmallRng::seed_from_u64(seed);
-        read(&of_agents(), &mut rng);
-        read(&of_entries(), &mut rng);
+        decode_corrupted(&agent_datagrams(), &mut rng);
+        decode_corrupted(&entry_datagrams(), &mut rng);
     }
 }
 
 #[test]
 fn whole_datagrams_are_read_as_they_were_sent() {
-    for sent in of_agents() {
-        let read: Datagram = datagram::decode(&datagram::encode(&sent)).expect("it is whole");
+    for sent in agent_datagrams() {
+        let read: Datagram = datagram::decode(&datagram::encode(&sent)).expect("it is valid");
         assert_eq!(read, sent);
     }
-    for sent in of_entries() {
-        let read: peer::Datagram = datagram::decode(&datagram::encode(&sent)).expect("it is whole");
+    for sent in entry_datagrams() {
+        let read: peer::Datagram = datagram::decode(&datagram::encode(&sent)).expect("it is valid");
         assert_eq!(read, sent);
     }
 }
--- a/crates/rebalance/tests/estimate.rs
+++ b/crates/rebalance/tests/estimate.rs
@@ -1,5 +1,5 @@
-//! The estimate of popularity follows a turn of demand at once, and smooths the
-//! noise of requests while there is none.
+//! The estimate of popularity follows a demand shift at once, and smooths the
+//! noise of requests otherwise.
 
 use std::time::Duration;
 
@@ -9,11 +9,11 @@
 use rand::{Rng, SeedableRng};
 
 const EXPERTS: usize = 16;
-/// How often a rank reports.
-const REPORT: Duration = Duration::from_millis(120);
+/// The interval at which a rank reports.
+const REPORT_INTERVAL: Duration = Duration::from_millis(120);
 
-/// Counts in which the experts from `first` on, a quarter of all, get most of
-/// the work, with `noise` as a part of each count.
+/// Returns counts in which the experts from `first` on, a quarter of all, get
+/// most of the work. `noise` is the relative noise of each count.
 fn counts(first: usize, noise: f64, rng: &mut SmallRng) -> Vec<u64> {
     let popular = |expert: usize| (expert + EXPERTS - first) % EXPERTS < EXPERTS / 4;
     let count = |expert: usize| {
@@ -30,23 +30,24 @@
     (0..EXPERTS).map(count).collect()
 }
 
-/// Reports for `reports` times; returns how often a turn was seen.
+/// Reports `reports` times; returns how often a demand shift was detected.
 fn report(
     estimate: &mut Estimate,
     now: &mut Instant,
     reports: u32,
     mut counts: impl FnMut() -> Vec<u64>,
 ) -> u32 {
-    let mut turns = 0;
+    let mut shifts = 0;
     for _ in 0..reports {
-        *now += REPORT;
+        *now += REPORT_INTERVAL;
         let (units, bytes) = pack(&counts(), EXPERTS);
-        turns += u32::from(estimate.add(&units, &bytes, *now));
+        shifts += u32::from(estimate.add(&units, &bytes, *now));
     }
-    turns
+    shifts
 }
 
-/// Returns the part of the work that the popular experts from `first` on get.
+/// Returns the fraction of the work that the popular experts from `first` on
+/// get.
 fn popularity(estimate: &Estimate, first: usize) -> f64 {
     let weights = estimate.set(0);
     let popular: f64 = weights[first..first + EXPERTS / 4].iter().sum();
@@ -59,12 +60,12 @@
     let mut estimate = Estimate::new(1, EXPERTS);
     let mut now = clock::now();
     report(&mut estimate, &mut now, 20, || counts(0, 0.2, &mut rng));
-    let turns = report(&mut estimate, &mut now, 2, || counts(8, 0.2, &mut rng));
-    assert_eq!(turns, 1, "the turn is seen once");
+    let shifts = report(&mut estimate, &mut now, 2, || counts(8, 0.2, &mut rng));
+    assert_eq!(shifts, 1, "the shift is detected once");
     let part = popularity(&estimate, 8);
     assert!(
         part > 0.7,
-        "{part} of the work at what is popular now, 0.75 in truth"
+        "popular experts get {part} of the work in the estimate, 0.75 in truth"
     );
 }
 
@@ -86,20 +87,23 @@
     let part = popularity(&estimate, 8);
     assert!(
         part > 0.65,
-        "{part} of the work at what is popular now, 0.75 in truth"
+        "popular experts get {part} of the work in the estimate, 0.75 in truth"
     );
 }
 
 #[test]
 fn noise_is_hardly_ever_taken_for_a_turn() {
-    let mut turns = 0;
+    let mut shifts = 0;
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
         let mut estimate = Estimate::new(1, EXPERTS);
         let mut now = clock::now();
-        turns += report(&mut estimate, &mut now, 100, || counts(0, 0.3, &mut rng));
+        shifts += report(&mut estimate, &mut now, 100, || counts(0, 0.3, &mut rng));
     }
-    assert!(turns <= 5, "{turns} turns in 5,000 reports of one demand");
+    assert!(
+        shifts <= 5,
+        "{shifts} shifts in 5,000 reports of one demand"
+    );
 }
 
 #[test]
@@ -109,10 +113,10 @@
         let mut estimate = Estimate::new(1, EXPERTS);
         let mut now = clock::now();
         report(&mut estimate, &mut now, 30, || counts(0, 0.8, &mut rng));
-        let turns = report(&mut estimate, &mut now, 100, || counts(0, 0.8, &mut rng));
+        let shifts = report(&mut estimate, &mut now, 100, || counts(0, 0.8, &mut rng));
         assert!(
-            turns <= 4,
-            "seed {seed}: {turns} turns in 100 reports of one demand"
+            shifts <= 4,
+            "seed {seed}: {shifts} shifts in 100 reports of one demand"
         );
     }
 }
--- a/crates/rebalance/tests/plan.rs
+++ b/crates/rebalance/tests/plan.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// The map that deals the experts out in turn.
-fn dealt(shape: &Shape, ranks: usize) -> Map {
+/// Returns the map that assigns the experts to the ranks round-robin.
+fn round_robin(shape: &Shape, ranks: usize) -> Map {
     let rank = |rank: usize| (0..shape.experts).filter(move |expert| expert % ranks == rank);
     let number = |expert: usize| u16::try_from(expert).expect("few experts");
     let set = || {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Options under which each copy has to take `gain` mean loads off.
+/// Returns options under which each copy must remove `gain` mean loads.
 fn options(copies_per_rank: usize, gain: f64) -> Options {
     Options {
         copies_per_rank,
@@ -49,11 +49,17 @@
 }
 
 /// Plans for a group whose ranks all have their usual pace.
-fn even(map: &Map, estimate: &Estimate, shape: &Shape, options: &Options) -> Plan {
-    paced(map, estimate, shape, options, &vec![1.0; map.sets[0].len()])
+fn plan_even(map: &Map, estimate: &Estimate, shape: &Shape, options: &Options) -> Plan {
+    plan_with_paces(map, estimate, shape, options, &vec![1.0; map.sets[0].len()])
 }
 
-fn paced(map: &Map, estimate: &Estimate, shape: &Shape, options: &Options, paces: &[f64]) -> Plan {
+fn plan_with_paces(
+    map: &Map,
+    estimate: &Estimate,
+    shape: &Shape,
+    options: &Options,
+    paces: &[f64],
+) -> Plan {
     let group = Group {
         pressure: &Pressure::new(0.85, None),
         paces,
@@ -68,7 +74,8 @@
     estimate
 }
 
-/// Counts that fall off by a power of the rank, shuffled by a stride.
+/// Returns counts that fall off by a power of the popularity rank, shuffled by
+/// a stride.
 fn skewed(shape: &Shape) -> Vec<u64> {
     let one = |set: usize, expert: usize| {
         let order = (expert * 29 + set * 7) % shape.experts;
@@ -83,12 +90,12 @@
 fn a_few_rounds_even_out_a_skewed_group_of_eight() {
     let shape = shape(6, 64, 11);
     let estimate = estimate(&shape, &skewed(&shape));
-    let mut map = dealt(&shape, 8);
+    let mut map = round_robin(&shape, 8);
     let options = options(2, 0.03);
-    let first = even(&map, &estimate, &shape, &options);
+    let first = plan_even(&map, &estimate, &shape, &options);
     let mut last = first.clone();
     for _ in 0..6 {
-        last = even(&map, &estimate, &shape, &options);
+        last = plan_even(&map, &estimate, &shape, &options);
         assert!(last.moves.iter().all(|step| map.apply(step)));
     }
     assert!(
@@ -112,13 +119,13 @@
     ) {
         let shape = shape(2, 16, 16 / ranks + 2);
         let estimate = estimate(&shape, &counts);
-        let mut map = dealt(&shape, ranks);
+        let mut map = round_robin(&shape, ranks);
         let options = options(copies_per_rank, 0.01);
         for _ in 0..4 {
-            let made = even(&map, &estimate, &shape, &options);
-            prop_assert!(made.after <= made.before);
+            let plan = plan_even(&map, &estimate, &shape, &options);
+            prop_assert!(plan.after <= plan.before);
             let mut new = vec![0; ranks];
-            for step in &made.moves {
+            for step in &plan.moves {
                 prop_assert!(map.apply(step));
                 new[usize::from(step.rank)] += usize::from(step.new.is_some());
             }
@@ -134,15 +141,15 @@
         let (units, bytes) = pack(&counts, 16);
         for (at, &count) in counts.iter().enumerate() {
             let unit = f64::from(units[at / 16]);
-            let told = unit * f64::from(bytes[at]);
+            let decoded = unit * f64::from(bytes[at]);
             let count = f64::from(u32::try_from(count).expect("counts are small"));
-            prop_assert!((told - count).abs() <= unit * 0.51 + 1e-3);
+            prop_assert!((decoded - count).abs() <= unit * 0.51 + 1e-3);
         }
     }
 }
 
-/// Returns the mean over the sets of the busiest rank's load over the mean, in
-/// thousandths, worked out from the whole map.
+/// Returns the mean over the sets of the busiest rank's load relative to the
+/// mean load, in thousandths, computed from the whole map.
 fn skew(map: &Map, estimate: &Estimate) -> f64 {
     let of_set = |(set, ranks): (usize, &Vec<Vec<u16>>)| {
         let weights = estimate.set(set);
@@ -165,10 +172,10 @@
 fn the_skew_that_a_plan_expects_is_that_of_the_map_it_makes() {
     let shape = shape(4, 64, 11);
     let estimate = estimate(&shape, &skewed(&shape));
-    let mut map = dealt(&shape, 8);
+    let mut map = round_robin(&shape, 8);
     let options = options(3, 0.005);
     for _ in 0..6 {
-        let plan = even(&map, &estimate, &shape, &options);
+        let plan = plan_even(&map, &estimate, &shape, &options);
         assert!((f64::from(plan.before) - skew(&map, &estimate)).abs() < 1.0);
         assert!(plan.moves.iter().all(|step| map.apply(step)));
         assert!((f64::from(plan.after) - skew(&map, &estimate)).abs() < 1.0);
--- a/crates/rebalance/tests/price.rs
+++ b/crates/rebalance/tests/price.rs
@@ -1,10 +1,9 @@
-//! What a copy has to bring, by how near the group is to its limits.
+//! The gain required of a copy, by how near the group is to its limits.
 //!
-//! On a quiet day with passes of half of the longest pause, copies that took a
-//! quarter of the mean load off for each second that they took moved 770 GB in
-//! 34 s; with the price that follows from the pressure 190 to 300 GB were moved and
-//! as many streams were on time. Where passes are near the pause a dearer copy cost
-//! up to a third of the streams.
+//! On a quiet day with passes of half of the longest pause, a threshold of a quarter of the
+//! mean load for each second that a copy takes moved 770 GB in 34 s. With the threshold
+//! derived from the pressure, 190 to 300 GB were moved and as many streams were on time.
+//! Where passes are near the pause, a higher threshold cost up to a third of the streams.
 
 use std::time::Duration;
 
@@ -21,7 +20,7 @@
     saturated: 0.25,
     copy: Duration::from_millis(50),
 };
-/// An even map, in thousandths.
+/// The skew of an even map, in thousandths.
 const EVEN: u32 = 1_000;
 
 fn pressure(pass: u64) -> Pressure {
@@ -30,32 +29,32 @@
     pressure
 }
 
-fn near(left: f64, right: f64) -> bool {
+fn approx_eq(left: f64, right: f64) -> bool {
     (left - right).abs() < 1e-9
 }
 
 #[test]
 fn short_passes_make_copies_dear_and_long_ones_cheap() {
-    assert!(near(pressure(30).at(EVEN), 0.0));
-    assert!(near(pressure(80).at(EVEN), 1.0));
+    assert!(approx_eq(pressure(30).at(EVEN), 0.0));
+    assert!(approx_eq(pressure(80).at(EVEN), 1.0));
     assert!(
-        near(THRESHOLD.min_gain(0.0), 0.3),
+        approx_eq(THRESHOLD.min_gain(0.0), 0.3),
         "six mean loads a second, for 50 ms"
     );
-    assert!(near(THRESHOLD.min_gain(1.0), 0.0125));
+    assert!(approx_eq(THRESHOLD.min_gain(1.0), 0.0125));
     assert!(THRESHOLD.min_gain(0.5) < THRESHOLD.min_gain(0.2));
 }
 
 #[test]
 fn a_group_of_which_nothing_is_known_counts_as_pressed() {
-    assert!(near(Pressure::new(0.85, Some(PAUSE)).at(EVEN), 1.0));
-    assert!(near(Pressure::new(0.85, None).at(EVEN), 1.0));
+    assert!(approx_eq(Pressure::new(0.85, Some(PAUSE)).at(EVEN), 1.0));
+    assert!(approx_eq(Pressure::new(0.85, None).at(EVEN), 1.0));
 }
 
 #[test]
 fn skew_lengthens_the_experts_part_only() {
     let mut skewed = Pressure::new(0.85, Some(PAUSE));
-    // 15 ms of its own and 85 ms for experts at twice the mean load.
+    // 15 ms without experts and 85 ms for experts at twice the mean load.
     skewed.measure(Duration::from_micros(57_500), 2 * EVEN);
     // With even ranks a pass takes 57.5 / 1.85 = 31.1 ms.
     assert!(skewed.at(EVEN) < 0.05);
@@ -65,22 +64,22 @@
 #[test]
 fn turns_that_leave_much_skew_press_a_group_with_short_passes() {
     let mut group = pressure(40);
-    let calm = group.at(EVEN);
+    let before = group.at(EVEN);
     group.record_shift(3_100);
-    // 40 ms grow to 111 ms right after a turn.
-    assert!(calm < 0.6 && group.at(EVEN) > 0.85, "{calm}");
+    // 40 ms grow to 111 ms right after a demand shift.
+    assert!(before < 0.6 && group.at(EVEN) > 0.85, "{before}");
 }
 
 #[test]
 fn a_full_group_is_pressed_however_short_its_passes_are() {
     let mut group = pressure(30);
     group.set_utilisation(1.2);
-    assert!(near(group.at(EVEN), 1.0));
+    assert!(approx_eq(group.at(EVEN), 1.0));
 }
 
-/// Returns how many moves are made where the busiest of four ranks has 1.4 times the
-/// mean load, of which one copy takes a fifth of a mean load at most.
-fn copies(pressure: &Pressure) -> usize {
+/// Returns the number of planned moves where the busiest of four ranks has 1.4 times the
+/// mean load, of which one copy removes at most a fifth of a mean load.
+fn move_count(pressure: &Pressure) -> usize {
     let shape = Shape {
         sets: 1,
         experts: 16,
@@ -111,6 +110,6 @@
 
 #[test]
 fn a_little_skew_is_left_alone_far_from_the_limits() {
-    assert_eq!(copies(&pressure(20)), 0);
-    assert!(copies(&pressure(80)) > 0);
+    assert_eq!(move_count(&pressure(20)), 0);
+    assert!(move_count(&pressure(80)) > 0);
 }
--- a/crates/rebalance/tests/relay.rs
+++ b/crates/rebalance/tests/relay.rs
@@ -1,10 +1,10 @@
-//! Load: rank 0 of a group of 96 or 256 ranks tells all of them the map and its rounds, and
-//! hears what all of them count, over a host's link.
+//! Load of a host's link: rank 0 of a group of 96 or 256 ranks sends the map and its rounds
+//! to all ranks, and receives their counts.
 //!
-//! Grounds of the figures: hosts of model servers have links of 6 Mbit/s; trains of 91 KB
-//! lost their end there, so that a link is taken to hold back 75 KB, a tenth of a second.
-//! Maps have 16 sets of 192 experts, 3 a rank. Demand turns every three to four seconds,
-//! and a group that forms has its first callers after 0.6 s.
+//! The figures assume links of 6 Mbit/s at the hosts of model servers. Bursts of 91 KB lost
+//! their end there; a link is therefore assumed to buffer 75 KB, a tenth of a second. Maps
+//! have 16 sets of 192 experts, 3 a rank. Demand shifts every three to four seconds, and a
+//! group that forms gets its first callers after 0.6 s.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -22,15 +22,15 @@
 const SETS: usize = 16;
 const EXPERTS: usize = 192;
 const SIZES: [u16; 2] = [96, 256];
-/// Bytes a second of a host's link at 6, 8 and 1,000 Mbit/s.
+/// The bandwidth of a host's link at 6, 8 and 1,000 Mbit/s, in bytes per second.
 const LINK: u32 = 750_000;
 const LINKS: [u32; 3] = [LINK, 1_000_000, 125_000_000];
-/// What a link holds back, in the time that it takes for it.
+/// The size of a link's buffer, in the time that the link takes to send it.
 const QUEUE: Duration = Duration::from_millis(100);
-/// How often rank 0 looks what there is to be told.
-const LOOK: Duration = Duration::from_millis(30);
-/// How often ranks tell what they counted.
-const COUNT_EVERY: Duration = Duration::from_millis(120);
+/// The interval at which rank 0 checks what is due to be sent.
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
+/// The interval at which ranks report their counts.
+const COUNT_INTERVAL: Duration = Duration::from_millis(120);
 
 fn number(value: usize) -> u16 {
     u16::try_from(value).expect("it is small")
@@ -40,7 +40,7 @@
     f64::from(u32::try_from(bytes).expect("it is small"))
 }
 
-/// A host's link, which drops what it can't hold back.
+/// A host's link, which drops what exceeds its buffer.
 #[derive(Clone)]
 struct Link {
     rate: f64,
@@ -57,7 +57,8 @@
         }
     }
 
-    /// Returns when what is sent at `now` has been sent, or nothing if it is dropped.
+    /// Returns when a datagram sent at `now` has been transmitted, or `None` if it is
+    /// dropped.
     fn send(&mut self, bytes: usize, now: Duration) -> Option<Duration> {
         let drained = now.saturating_sub(self.at).as_secs_f64() * self.rate;
         self.backlog = (self.backlog - drained).max(0.0);
@@ -83,13 +84,13 @@
     usize::from(u16::from_be_bytes([high, low]))
 }
 
-const CENTRES: [&str; 5] = ["a", "b", "c", "d", "e"];
+const DATA_CENTRES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
 fn peers(size: u16) -> Vec<Peer<'static>> {
     let peer = |rank: u16| Peer {
         rank,
         agent: agent(rank),
-        data_centre: CENTRES[usize::from(rank) * 7 % CENTRES.len()],
+        data_centre: DATA_CENTRES[usize::from(rank) * 7 % DATA_CENTRES.len()],
         alive: true,
     };
     (1..size).map(peer).collect()
@@ -114,9 +115,9 @@
     })
 }
 
-/// Sends a datagram to all ranks at `now`; returns the bytes that rank 0 sent, and when
-/// each rank has it.
-fn spread(
+/// Sends a datagram to all ranks at `now`; returns the number of bytes that rank 0 sent,
+/// and when each rank receives it.
+fn send_to_all(
     links: &mut [Link],
     size: u16,
     datagram: &Datagram,
@@ -135,12 +136,12 @@
         let Some(arrived) = arrivals[rank_of(relay)] else {
             continue;
         };
-        let passed_on = datagram::encode(&Datagram::Relayed(Relayed {
+        let forwarded = datagram::encode(&Datagram::Relayed(Relayed {
             leader: agent(0),
             message: message.clone(),
         }));
         for other in to {
-            arrivals[rank_of(other)] = links[rank_of(relay)].send(passed_on.len(), arrived);
+            arrivals[rank_of(other)] = links[rank_of(relay)].send(forwarded.len(), arrived);
         }
     }
     (sent, arrivals)
@@ -150,31 +151,31 @@
 fn the_map_is_with_all_ranks_soon_after_a_group_has_formed() {
     // Half of the link has 0.46 MB to carry at 256 ranks.
     let bounds = [Duration::from_millis(600), Duration::from_millis(1_400)];
-    // A look and a relay take this long, however wide links are.
+    // A poll and a relay take this long, however wide the links are.
     let hops = Duration::from_millis(60);
     for link in LINKS {
         let narrower = f64::from(LINK) / f64::from(link);
         for (size, bound) in SIZES.into_iter().zip(bounds) {
-            tell_the_map(link, size, bound.mul_f64(narrower).max(hops));
+            broadcast_map(link, size, bound.mul_f64(narrower).max(hops));
         }
     }
 }
 
-/// Tells a group of `size` ranks the map over links of so many bytes a second; each rank has
-/// to have it within `bound`.
-fn tell_the_map(link: u32, size: u16, bound: Duration) {
+/// Sends the map to a group of `size` ranks over links of `link` bytes per second; each
+/// rank must receive it within `bound`.
+fn broadcast_map(link: u32, size: u16, bound: Duration) {
     let map = map(size);
     let mut links = vec![Link::new(link); usize::from(size)];
     let mut known = vec![0; usize::from(size)];
     let (base, mut broadcast) = (clock::now(), Broadcast::new(link));
-    let (mut last, mut told) = (Duration::ZERO, 0);
-    for look in 0..50 {
-        let now = LOOK * look;
-        while told < SETS
+    let (mut last, mut sets_sent) = (Duration::ZERO, 0);
+    for poll in 0..50 {
+        let now = POLL_INTERVAL * poll;
+        while sets_sent < SETS
             && let Some(set) = broadcast.next(SETS, base + now)
         {
-            told += 1;
-            let (sent, arrivals) = spread(&mut links, size, &part(&map, set), now);
+            sets_sent += 1;
+            let (sent, arrivals) = send_to_all(&mut links, size, &part(&map, set), now);
             broadcast.sent(sent);
             for (known, at) in known.iter_mut().zip(&arrivals) {
                 *known += usize::from(at.is_some());
@@ -189,7 +190,7 @@
     );
     assert!(
         last < bound,
-        "{size} ranks have it after {last:?} over {link} bytes a second"
+        "{size} ranks have the map after {last:?} over {link} bytes per second"
     );
 }
 
@@ -213,12 +214,12 @@
             asks_held: false,
         });
         let mut links = vec![Link::new(LINK); usize::from(size)];
-        let (_, arrivals) = spread(&mut links, size, &round, Duration::ZERO);
+        let (_, arrivals) = send_to_all(&mut links, size, &round, Duration::ZERO);
         let arrived: Vec<_> = arrivals.iter().skip(1).flatten().copied().collect();
         assert_eq!(
             arrived.len() + 1,
             usize::from(size),
-            "some did not hear of it"
+            "some ranks did not receive it"
         );
         let last = arrived.iter().max().copied().unwrap_or_default();
         assert!(last < Duration::from_millis(150), "{size}: {last:?}");
@@ -240,7 +241,7 @@
         let branches = relay::branches(size, peers(size));
         let most = branches.iter().map(|branch| branch.to.len()).max();
         let most = most.unwrap_or_default().max(branches.len());
-        let rate = float(most) * length / COUNT_EVERY.as_secs_f64();
+        let rate = float(most) * length / COUNT_INTERVAL.as_secs_f64();
         assert!(
             rate < f64::from(LINK) * 2.0 / 3.0,
             "{size} ranks: {rate} bytes a second"
@@ -267,14 +268,18 @@
     assert_eq!(
         aggregation.take(&place(96), own.clone()),
         own,
-        "no relay adds nothing up"
+        "a rank that is no relay adds nothing up"
     );
     aggregation.activate(now);
     aggregation.add(&place(96), &units, &counts, now);
     aggregation.add(&place(96), &units, &counts, now);
     let sums = aggregation.take(&place(96), own.clone());
     assert_eq!(sums, [21, 41, 511, 1, 1_021, 509]);
-    assert_eq!(aggregation.take(&place(96), own.clone()), own, "told once");
+    assert_eq!(
+        aggregation.take(&place(96), own.clone()),
+        own,
+        "each count is forwarded once"
+    );
     let former = Place {
         epoch: 0,
         ..place(96)
@@ -283,13 +288,13 @@
     assert_eq!(
         aggregation.take(&place(96), own.clone()),
         own,
-        "of a former life"
+        "counts of a former epoch are dropped"
     );
     aggregation.add(&place(96), &units, &counts, now + relay::RELAY_LIFETIME);
     assert_eq!(
         aggregation.take(&place(96), own.clone()),
         own,
-        "no relay any more"
+        "the rank is no relay any more"
     );
 }
 
@@ -305,19 +310,20 @@
                 .iter()
                 .chain([&branch.relay])
                 .map(|&at| rank_of(at));
-            let mut centres: Vec<_> = ranks.map(|rank| rank * 7 % CENTRES.len()).collect();
-            centres.dedup();
-            assert_eq!(centres.len(), 1, "{branch:?}");
+            let mut data_centres: Vec<_> =
+                ranks.map(|rank| rank * 7 % DATA_CENTRES.len()).collect();
+            data_centres.dedup();
+            assert_eq!(data_centres.len(), 1, "{branch:?}");
             assert!(branch.to.len() < usize::from(size.isqrt()) + 1);
         }
-        let silent = first[0].relay;
+        let unresponsive = first[0].relay;
         let mut peers = peers(size);
         for peer in &mut peers {
-            peer.alive = peer.agent != silent;
+            peer.alive = peer.agent != unresponsive;
         }
         let then = relay::branches(size, peers);
-        assert!(then.iter().all(|branch| branch.relay != silent));
-        assert!(then.iter().any(|branch| branch.to.contains(&silent)));
+        assert!(then.iter().all(|branch| branch.relay != unresponsive));
+        assert!(then.iter().any(|branch| branch.to.contains(&unresponsive)));
     }
 }
 
@@ -345,9 +351,9 @@
             to: vec![agent(1), agent(2)],
             message: message.clone(),
         });
-        let read: Datagram = datagram::decode(&datagram::encode(&sent)).expect("it is whole");
+        let read: Datagram = datagram::decode(&datagram::encode(&sent)).expect("it is valid");
         assert_eq!(read, sent);
-        let inner: Datagram = datagram::decode(&message).expect("it is whole");
+        let inner: Datagram = datagram::decode(&message).expect("it is valid");
         assert_eq!(inner, part);
     }
 }
--- a/crates/rebalance/tests/slow_rank.rs
+++ b/crates/rebalance/tests/slow_rank.rs
@@ -1,9 +1,9 @@
 //! A rank that takes twelve times as long as usual for nine seconds.
 //!
-//! The load is that of a model server that turns slow while its group serves: 8
-//! ranks, 6 sets of 64 experts, 11 places, popularity that falls off by a power of
-//! the order. Played days of it lost a sixth of their worth as long as maps took all
-//! ranks for equally fast: a pass went from 60 ms to 450 ms.
+//! The load is that of a model server that becomes slow while its group serves: 8 ranks, 6
+//! sets of 64 experts, 11 places, popularity that falls off by a power of the order. While
+//! maps assumed all ranks to be equally fast, simulated days with this load lost a sixth of
+//! their value: a pass went from 60 ms to 450 ms.
 
 use std::time::Duration;
 
@@ -16,10 +16,10 @@
 
 const RANKS: usize = 8;
 const SLOW: usize = 3;
-/// How much longer the slow rank takes.
+/// The factor by which the slow rank takes longer.
 const FACTOR: f64 = 12.0;
-/// The rounds within which the group has to be usable again: each takes about 0.4 s,
-/// and callers leave after two seconds without an event.
+/// The rounds within which the group must be usable again: each takes about 0.4 s, and
+/// callers leave after two seconds without an event.
 const ROUNDS: usize = 4;
 const SHAPE: Shape = Shape {
     sets: 6,
@@ -43,8 +43,8 @@
     u16::try_from(value).expect("a small number")
 }
 
-/// The map that deals the experts out in turn.
-fn dealt() -> Map {
+/// Returns the map that assigns the experts to the ranks round-robin.
+fn round_robin() -> Map {
     let held = |rank: usize| {
         (0..SHAPE.experts)
             .filter(move |expert| expert % RANKS == rank)
@@ -76,8 +76,8 @@
     (0..RANKS).map(pace).collect()
 }
 
-/// Plans and carries out rounds; returns the last plan.
-fn rounds(map: &mut Map, paces: &[f64], count: usize) -> Plan {
+/// Plans and applies rounds; returns the last plan.
+fn run_rounds(map: &mut Map, paces: &[f64], count: usize) -> Plan {
     let group = Group {
         pressure: &Pressure::new(0.85, None),
         paces,
@@ -93,62 +93,68 @@
 
 #[test]
 fn a_slow_rank_is_relieved_within_a_few_rounds() {
-    let mut map = dealt();
-    rounds(&mut map, &paces(&[]), 6);
+    let mut map = round_robin();
+    run_rounds(&mut map, &paces(&[]), 6);
     let before = skew_of(&map, &demand(), &paces(&[SLOW]));
-    let last = rounds(&mut map, &paces(&[SLOW]), ROUNDS);
-    assert!(before > 8_000, "the group is not slowed: {before}");
+    let last = run_rounds(&mut map, &paces(&[SLOW]), ROUNDS);
+    assert!(
+        before > 8_000,
+        "the slow rank does not slow the group: {before}"
+    );
     // Seven ranks with all the work have 8/7 of the mean load.
     assert!(
         last.after < 1_800,
-        "the slow rank holds the group up: {}",
+        "the slow rank still delays the group: {}",
         last.after
     );
 }
 
 #[test]
 fn maps_that_take_all_ranks_for_equal_leave_the_group_slow() {
-    let mut map = dealt();
-    rounds(&mut map, &paces(&[]), 6 + ROUNDS);
+    let mut map = round_robin();
+    run_rounds(&mut map, &paces(&[]), 6 + ROUNDS);
     let left = skew_of(&map, &demand(), &paces(&[SLOW]));
-    assert!(left > 8_000, "the test's load shows nothing: {left}");
+    assert!(
+        left > 8_000,
+        "the load of this test does not slow the group: {left}"
+    );
 }
 
 #[test]
 fn a_rank_that_has_recovered_gets_its_part_again() {
-    let mut map = dealt();
-    rounds(&mut map, &paces(&[SLOW]), 8);
-    let last = rounds(&mut map, &paces(&[]), 8);
+    let mut map = round_robin();
+    run_rounds(&mut map, &paces(&[SLOW]), 8);
+    let last = run_rounds(&mut map, &paces(&[]), 8);
     assert!(last.after < 1_200, "the skew stays at {}", last.after);
 }
 
 #[test]
 fn what_only_slow_ranks_have_room_for_stays_with_them() {
     // Five ranks have 55 places for 64 experts.
-    let mut map = dealt();
+    let mut map = round_robin();
     let slow = paces(&[1, 4, 6]);
     let before = skew_of(&map, &demand(), &slow);
-    let last = rounds(&mut map, &slow, 8);
+    let last = run_rounds(&mut map, &slow, 8);
     assert!(
         last.after * 3 < before,
-        "the coldest experts stay, the others move: {before} to {}",
+        "only the least used experts should stay: skew went from {before} to {}",
         last.after
     );
 }
 
 #[test]
 fn giving_an_expert_up_needs_no_copy() {
-    let mut map = dealt();
-    // All that the slow rank holds is held by its neighbour as well.
+    let mut map = round_robin();
+    // All experts of the slow rank are held by its neighbour as well.
     for set in &mut map.sets {
         let held = set[SLOW].clone();
         set[SLOW + 1].extend(held.iter().take(SHAPE.places - 8));
         set[SLOW + 1].sort_unstable();
     }
-    let plan = rounds(&mut map, &paces(&[SLOW]), 1);
+    let plan = run_rounds(&mut map, &paces(&[SLOW]), 1);
     let dropped = |step: &&cactusnotch_rebalance::map::Move| {
         step.new.is_none() && usize::from(step.rank) == SLOW
     };
     let count = plan.moves.iter().filter(dropped).count();
-    assert!(count >= SHAPE.sets * 3, "only {count} are given up");
+    assert!(count >= SHAPE.sets * 3, "only {count} experts were removed");
 }
--- a/crates/rebalance/tests/world/endpoint.rs
+++ b/crates/rebalance/tests/world/endpoint.rs
@@ -1,24 +1,24 @@
-//! An endpoint as a rank, with the orders on maps.
+//! A simulated endpoint of a rank, which carries out the orders on maps.
 
 use cactusnotch_rebalance::codec::Order;
 use cactusnotch_rebalance::state::Maps;
 use cactusnotch_rebalance::{Map, Shape};
 
-/// The ticks that it takes to load a map's experts.
-const LOADING: u64 = 12;
+/// The ticks that loading the experts of a map takes.
+const LOAD_TICKS: u64 = 12;
 
 pub struct Endpoint {
     rank: usize,
     spare: usize,
-    start: Map,
+    initial: Map,
     pub maps: Maps,
-    /// The whole map in force, as this rank was told it.
+    /// The whole map in force, as this rank received it.
     pub map: Map,
     /// The experts that this rank holds in the map in force.
     pub held: Vec<Vec<u16>>,
     loading: Option<(u64, u64, Map)>,
     loaded: Option<Map>,
-    pass: Option<u64>,
+    switch_pass: Option<u64>,
     highest: u64,
 }
 
@@ -33,19 +33,19 @@
             };
             (0..ranks).map(of).collect()
         };
-        let start = Map {
+        let initial = Map {
             sets: (0..shape.sets).map(|_| set()).collect(),
         };
         let mut endpoint = Self {
             rank,
             spare: shape.spare,
-            map: start.clone(),
-            start,
+            map: initial.clone(),
+            initial,
             maps: Maps::default(),
             held: Vec::new(),
             loading: None,
             loaded: None,
-            pass: None,
+            switch_pass: None,
             highest: 0,
         };
         endpoint.restart();
@@ -54,15 +54,15 @@
 
     pub fn restart(&mut self) {
         self.maps = Maps::default();
-        self.map = self.start.clone();
-        self.hold_experts();
+        self.map = self.initial.clone();
+        self.update_held();
         self.loading = None;
         self.loaded = None;
-        self.pass = None;
+        self.switch_pass = None;
         self.highest = 0;
     }
 
-    fn hold_experts(&mut self) {
+    fn update_held(&mut self) {
         self.held = self
             .map
             .sets
@@ -85,10 +85,10 @@
 
     /// Begins a pass; returns whether the map changes with it.
     pub fn begin(&mut self, step: u64) -> bool {
-        if self.pass != Some(step) {
+        if self.switch_pass != Some(step) {
             return false;
         }
-        self.pass = None;
+        self.switch_pass = None;
         self.maps.current = self
             .maps
             .armed
@@ -96,11 +96,11 @@
             .expect("a pass is noted with its version");
         self.maps.prepared = None;
         self.map = self.loaded.take().expect("only a loaded map is armed");
-        self.hold_experts();
+        self.update_held();
         true
     }
 
-    /// Carries an order out if it fits, as the endpoint's protocol says.
+    /// Carries out an order if it fits, as the endpoint's protocol requires.
     pub fn order(&mut self, order: &Order, step: u64, tick: u64) -> bool {
         match order {
             Order::Prepare { version, map } => self.prepare(*version, map, tick),
@@ -111,7 +111,7 @@
                 let fits = self.maps.prepared == Some(*version) && *pass > step;
                 if fits {
                     self.maps.armed = Some(*version);
-                    self.pass = Some(*pass);
+                    self.switch_pass = Some(*pass);
                 }
                 fits
             }
@@ -147,7 +147,7 @@
             self.highest = version;
             self.maps.prepared = None;
             self.loaded = None;
-            self.loading = Some((tick + LOADING, version, map.clone()));
+            self.loading = Some((tick + LOAD_TICKS, version, map.clone()));
         }
         fits
     }
--- a/crates/rebalance/tests/world/mod.rs
+++ b/crates/rebalance/tests/world/mod.rs
@@ -1,4 +1,4 @@
-//! A small group of ranks with its agents, in virtual time, with faults.
+//! A simulation of a small group of ranks with its agents, in virtual time, with faults.
 
 mod endpoint;
 
@@ -22,11 +22,11 @@
 
 /// The ranks of a group, unless a test asks for more.
 const RANKS: usize = 3;
-/// One tick stands for ten milliseconds.
+/// One tick represents ten milliseconds.
 const TICK: Duration = Duration::from_millis(10);
 /// The ticks of a pass.
 const PASS: u64 = 6;
-/// The price of a copy: next to nothing, so that rounds follow each other.
+/// The gain required of a copy: next to nothing, which makes rounds follow each other.
 const THRESHOLD: Threshold = Threshold {
     relaxed: 0.01,
     saturated: 0.01,
@@ -41,7 +41,7 @@
     expert_part: 850,
 };
 
-/// How often things go wrong.
+/// The frequency of faults.
 #[derive(Debug, Clone, Copy)]
 pub struct Faults {
     /// Messages that are lost, out of a thousand.
@@ -50,38 +50,38 @@
     pub late: u32,
     /// Ticks in which an agent is killed, out of ten thousand.
     pub kills: u32,
-    /// Ticks in which an agent stands still, out of ten thousand.
+    /// Ticks in which an agent freezes, out of ten thousand.
     pub freezes: u32,
-    /// Ticks in which the leader alone stands still, out of ten thousand.
-    pub lead_freezes: u32,
-    /// Holds after which the agent that gave the order stands still, out of a hundred.
-    pub giver_freezes: u32,
+    /// Ticks in which the leader freezes, out of ten thousand.
+    pub leader_freezes: u32,
+    /// Holds after which the agent that gave the order freezes, out of a hundred.
+    pub issuer_freezes: u32,
     /// Ticks in which a rank crashes, out of ten thousand.
     pub crashes: u32,
 }
 
-/// What a run has shown.
+/// The results of a run.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
-    /// Maps that came in force.
+    /// Maps that came into force.
     pub switches: u32,
-    /// The longest time that passes were kept back, in ticks, while no agent
-    /// was down or stood still.
+    /// The longest time that passes were held back while no agent was down or frozen, in
+    /// ticks.
     pub held_max: u64,
-    /// The same, whatever agents did.
+    /// The same, whatever the state of the agents.
     pub held_any: u64,
 }
 
 struct Agent {
     rank: Rank,
     takeover: Takeover,
-    /// When the leader was heard last.
-    heard: u64,
-    /// The rank that asked how this one stands, and when.
+    /// When the leader was last seen.
+    leader_seen: u64,
+    /// The rank that requested the status of this one, and when.
     finisher: Option<(usize, u64)>,
-    /// Until when it is down or stands still.
-    away: u64,
-    look: u64,
+    /// Until when the agent is down or frozen.
+    down_until: u64,
+    next_poll: u64,
     leader: bool,
 }
 
@@ -94,7 +94,7 @@
     epoch: u64,
     step: u64,
     /// Until when the group forms anew.
-    forming: u64,
+    forming_until: u64,
     endpoints: Vec<Endpoint>,
     agents: Vec<Agent>,
     messages: Vec<(u64, usize, Datagram)>,
@@ -118,9 +118,9 @@
             rank: Rank::default(),
             takeover: Takeover::default(),
             finisher: None,
-            heard: 0,
-            away: 0,
-            look: 0,
+            leader_seen: 0,
+            down_until: 0,
+            next_poll: 0,
             leader: false,
         };
         Self {
@@ -131,7 +131,7 @@
             tick: 0,
             epoch: 1,
             step: 0,
-            forming: 0,
+            forming_until: 0,
             endpoints,
             agents: (0..ranks).map(agent).collect(),
             messages: Vec::new(),
@@ -142,14 +142,14 @@
         }
     }
 
-    /// Runs `ticks` with faults and then `calm` without.
-    pub fn run(mut self, ticks: u64, calm: u64) -> Outcome {
+    /// Runs `ticks` with faults and then `quiet` without.
+    pub fn run(mut self, ticks: u64, quiet: u64) -> Outcome {
         for _ in 0..ticks {
-            self.disturb();
+            self.inject_faults();
             self.advance();
         }
         let before = self.outcome.switches;
-        for _ in 0..calm {
+        for _ in 0..quiet {
             self.advance();
         }
         assert!(
@@ -163,39 +163,39 @@
         self.base + TICK * u32::try_from(self.tick).expect("a run is short")
     }
 
-    fn one_in(&mut self, times: u32, of: u32) -> bool {
+    fn chance(&mut self, times: u32, of: u32) -> bool {
         self.rng.random_range(0..of) < times
     }
 
-    fn disturb(&mut self) {
-        if self.one_in(self.faults.kills, 10_000) {
+    fn inject_faults(&mut self) {
+        if self.chance(self.faults.kills, 10_000) {
             let at = self.rng.random_range(0..self.ranks);
-            let away = self.tick + self.rng.random_range(5..200);
+            let down_until = self.tick + self.rng.random_range(5..200);
             self.agents[at] = Agent {
                 rank: Rank::default(),
                 takeover: Takeover::default(),
                 finisher: None,
-                heard: 0,
-                away,
-                look: 0,
+                leader_seen: 0,
+                down_until,
+                next_poll: 0,
                 leader: false,
             };
-            self.quiet_since = self.quiet_since.max(away);
+            self.quiet_since = self.quiet_since.max(down_until);
         }
-        if self.one_in(self.faults.freezes, 10_000) {
+        if self.chance(self.faults.freezes, 10_000) {
             let at = self.rng.random_range(0..self.ranks);
-            let away = self.tick + self.rng.random_range(5..400);
-            self.agents[at].away = away;
-            self.quiet_since = self.quiet_since.max(away);
+            let down_until = self.tick + self.rng.random_range(5..400);
+            self.agents[at].down_until = down_until;
+            self.quiet_since = self.quiet_since.max(down_until);
         }
-        if self.one_in(self.faults.lead_freezes, 10_000) {
-            let away = self.tick + self.rng.random_range(100..500);
-            self.agents[0].away = away;
-            self.quiet_since = self.quiet_since.max(away);
+        if self.chance(self.faults.leader_freezes, 10_000) {
+            let down_until = self.tick + self.rng.random_range(100..500);
+            self.agents[0].down_until = down_until;
+            self.quiet_since = self.quiet_since.max(down_until);
         }
-        if self.one_in(self.faults.crashes, 10_000) {
+        if self.chance(self.faults.crashes, 10_000) {
             self.epoch += 1;
-            self.forming = self.tick + self.rng.random_range(20..100);
+            self.forming_until = self.tick + self.rng.random_range(20..100);
             self.endpoints.iter_mut().for_each(Endpoint::restart);
             self.held_since = None;
         }
@@ -209,19 +209,18 @@
         self.endpoints
             .iter_mut()
             .for_each(|endpoint| endpoint.load(tick));
-        if tick.is_multiple_of(PASS) && tick >= self.forming {
+        if tick.is_multiple_of(PASS) && tick >= self.forming_until {
             self.begin_pass();
         }
         for at in 0..self.ranks {
-            if self.agents[at].away <= tick && self.agents[at].look <= tick {
-                self.look(at);
-                self.agents[at].look = tick + self.rng.random_range(1..10);
+            if self.agents[at].down_until <= tick && self.agents[at].next_poll <= tick {
+                self.poll(at);
+                self.agents[at].next_poll = tick + self.rng.random_range(1..10);
             }
         }
     }
 
-    /// Begins the next pass unless a rank holds it; all ranks must then use
-    /// one map.
+    /// Begins the next pass unless a rank holds it; all ranks must then use the same map.
     fn begin_pass(&mut self) {
         let next = self.step + 1;
         if self
@@ -263,20 +262,20 @@
 
     fn carry_out(&mut self, rank: usize, order: &Order, epoch: u64) -> bool {
         epoch == self.epoch
-            && self.tick >= self.forming
+            && self.tick >= self.forming_until
             && self.endpoints[rank].order(order, self.step, self.tick)
     }
 
     fn send(&mut self, to: usize, datagram: Datagram) {
-        if self.one_in(self.faults.lost, 1000) {
+        if self.chance(self.faults.lost, 1000) {
             return;
         }
-        let delay = if self.one_in(self.faults.lost, 2000) {
+        let delay = if self.chance(self.faults.lost, 2000) {
             self.rng.random_range(20..300)
         } else {
             1
         };
-        if self.one_in(self.faults.lost, 1000) {
+        if self.chance(self.faults.lost, 1000) {
             self.messages
                 .push((self.tick + delay + 3, to, datagram.clone()));
         }
@@ -290,19 +289,19 @@
             .extract_if(.., |(at, ..)| *at <= tick)
             .collect();
         for (_, to, datagram) in due {
-            // A process that is down gets nothing; one that stands still gets
-            // it late.
-            if self.agents[to].away > tick {
+            // A process that is down receives nothing; a frozen one receives it late.
+            if self.agents[to].down_until > tick {
                 if self.agents[to].leader {
-                    self.messages.push((self.agents[to].away + 1, to, datagram));
+                    self.messages
+                        .push((self.agents[to].down_until + 1, to, datagram));
                 }
                 continue;
             }
-            self.hear(to, datagram);
+            self.receive(to, datagram);
         }
     }
 
-    fn hear(&mut self, to: usize, datagram: Datagram) {
+    fn receive(&mut self, to: usize, datagram: Datagram) {
         let now = self.now();
         let agent = &mut self.agents[to].rank;
         let mut answers = Vec::new();
@@ -327,12 +326,12 @@
             }
             Datagram::Round(round) => {
                 agent.member.update_round(round);
-                self.agents[to].heard = self.tick;
+                self.agents[to].leader_seen = self.tick;
             }
             Datagram::Finish(round) => agent.member.update_round(round),
             Datagram::Ask(ask) => {
                 let order = Order::Hold { step: ask.step };
-                let _: bool = self.give(to, 0, order);
+                let _: bool = self.issue(to, 0, order);
                 return;
             }
             Datagram::Part(part) => {
@@ -346,35 +345,35 @@
         for (rank, answer) in answers {
             self.send(rank, answer);
         }
-        self.agents[to].look = self.tick;
+        self.agents[to].next_poll = self.tick;
     }
 
-    fn look(&mut self, at: usize) {
-        if self.tick < self.forming {
+    fn poll(&mut self, at: usize) {
+        if self.tick < self.forming_until {
             return;
         }
-        self.take_part(at);
+        self.run_round(at);
         self.finish(at);
     }
 
-    /// Returns how slow a rank is: by turns one of them is far slower, so that rounds
-    /// take experts away from it.
+    /// Returns the pace of a rank: each in turn is far slower for a while, and rounds move
+    /// experts away from it.
     fn pace(&self, at: usize) -> Pace {
-        let turn = self.tick / 300 % (self.ranks as u64 + 1);
-        let slow = usize::try_from(turn).is_ok_and(|slow| slow == at);
+        let index = self.tick / 300 % (self.ranks as u64 + 1);
+        let slow = usize::try_from(index).is_ok_and(|slow| slow == at);
         Pace::from_factor(if slow { 12.0 } else { 1.0 })
     }
 
-    /// Completes a silent leader's round, and tells others that do.
+    /// Completes the round of an unresponsive leader, and reports to other agents that do.
     fn finish(&mut self, at: usize) {
         let maps = self.endpoints[at].report(self.step);
-        let (place, now, slowness) = (self.place(at), self.now(), self.pace(at));
+        let (place, now, slowdown) = (self.place(at), self.now(), self.pace(at));
         let agent = &mut self.agents[at];
         let status = Status {
             place: place.clone(),
             open: true,
             maps,
-            pace: slowness,
+            pace: slowdown,
             fill: 50,
             term: agent.rank.member.term(),
             met: agent.rank.member.held_step(),
@@ -383,13 +382,13 @@
             held: None,
         };
         let round = agent.rank.member.round().cloned();
-        let silence = TICK * u32::try_from(self.tick - agent.heard).expect("a run is short");
+        let silence = TICK * u32::try_from(self.tick - agent.leader_seen).expect("a run is short");
         let silent = agent
             .takeover
             .observe(&place, round.as_ref(), &maps, silence, now);
         agent.takeover.record(&status);
-        let asked = agent.finisher.filter(|&(_, tick)| self.tick - tick < 50);
-        if let Some((finisher, _)) = asked {
+        let request = agent.finisher.filter(|&(_, tick)| self.tick - tick < 50);
+        if let Some((finisher, _)) = request {
             self.send(finisher, Datagram::Standing(status));
         }
         let leader = self.endpoints[0].report(self.step);
@@ -405,15 +404,15 @@
             self.agents[other].finisher = Some((at, self.tick));
         }
         if let Some(order) = order {
-            let _: bool = self.give(at, 0, order);
+            let _: bool = self.issue(at, 0, order);
         }
     }
 
-    fn take_part(&mut self, at: usize) {
+    fn run_round(&mut self, at: usize) {
         for _ in 0..4 {
             let maps = self.endpoints[at].report(self.step);
             let place = self.place(at);
-            let (now, slowness) = (self.now(), self.pace(at));
+            let (now, slowdown) = (self.now(), self.pace(at));
             let agent = &mut self.agents[at];
             agent.leader = true;
             agent.rank.observe(&place, &maps);
@@ -430,7 +429,7 @@
                 place: place.clone(),
                 open: true,
                 maps,
-                pace: slowness,
+                pace: slowdown,
                 fill: 50,
                 term: agent.rank.member.term(),
                 met: agent.rank.member.held_step(),
@@ -467,7 +466,7 @@
                 self.send(usize::from(rank), Datagram::Ask(ask));
             }
             let Some(order) = step.order else { return };
-            if !self.give(at, at, order) {
+            if !self.issue(at, at, order) {
                 return;
             }
         }
@@ -482,35 +481,36 @@
         }
     }
 
-    /// Has the agent `giver` give the endpoint `at` an order; returns whether it was
-    /// answered well.
-    fn give(&mut self, giver: usize, at: usize, order: Order) -> bool {
+    /// Has the agent `issuer` send an order to the endpoint `at`; returns whether it was
+    /// confirmed.
+    fn issue(&mut self, issuer: usize, at: usize, order: Order) -> bool {
         let epoch = self.epoch;
-        if self.one_in(self.faults.late, 1000) {
+        if self.chance(self.faults.late, 1000) {
             let when = self.tick + self.rng.random_range(1..600);
             self.late.push((when, at, order, epoch));
             return false;
         }
         let done = self.carry_out(at, &order, epoch);
         let held = done && matches!(order, Order::Hold { .. });
-        if held && self.one_in(self.faults.giver_freezes, 100) {
-            let away = self.tick + self.rng.random_range(100..500);
-            self.agents[giver].away = away;
-            self.quiet_since = self.quiet_since.max(away);
+        if held && self.chance(self.faults.issuer_freezes, 100) {
+            let down_until = self.tick + self.rng.random_range(100..500);
+            self.agents[issuer].down_until = down_until;
+            self.quiet_since = self.quiet_since.max(down_until);
             return false;
         }
-        // The moment after the group was held is the worst one to fall silent.
-        if matches!(order, Order::Hold { .. }) && self.one_in(self.faults.lead_freezes, 1_000) {
-            let away = self.tick + self.rng.random_range(100..500);
-            self.agents[0].away = away;
-            self.quiet_since = self.quiet_since.max(away);
+        // Right after the group was held, an unresponsive leader does the most harm.
+        if matches!(order, Order::Hold { .. }) && self.chance(self.faults.leader_freezes, 1_000) {
+            let down_until = self.tick + self.rng.random_range(100..500);
+            self.agents[0].down_until = down_until;
+            self.quiet_since = self.quiet_since.max(down_until);
             return false;
         }
         // The answer may be lost though the order was carried out.
-        done && !self.one_in(self.faults.late, 2000)
+        done && !self.chance(self.faults.late, 2000)
     }
 
-    /// Lets the ranks' requests choose experts, the hot ones changing.
+    /// Adds expert choices of the ranks' requests, with popular experts that change over
+    /// time.
     fn choose(&mut self, at: usize) {
         let Some(lead) = &mut self.agents[at].rank.coordinator else {
             return;
