--- a/crates/lease/src/driver.rs
+++ b/crates/lease/src/driver.rs
@@ -66,7 +66,7 @@
         self.lease.check(self.clock.now())
     }
 
-    /// Raises the fencing number; see [`Lease::raise`].
+    /// Raises the fencing number; see [`Lease::raise_fence`].
     pub fn raise_fence(&mut self, fence: Fence) {
         self.lease.raise_fence(fence);
     }
--- a/crates/rebalance/src/agent/hear.rs
+++ b/crates/rebalance/src/agent/hear.rs
@@ -70,7 +70,7 @@
             Ok(Datagram::Round(round)) => self.receive_round(round, leader, now),
             Ok(Datagram::Part(part)) => self.rank.member.add_part(part),
             Ok(other) => {
-                tracing::debug!(%leader, ?other, "relayed datagram dropped, it is not a message to all ranks");
+                tracing::debug!(%leader, ?other, "relayed datagram dropped: not for all ranks");
                 false
             }
             Err(error) => {
--- a/crates/rebalance/src/relay.rs
+++ b/crates/rebalance/src/relay.rs
@@ -69,8 +69,8 @@
 pub fn branches(size: u16, mut peers: Vec<Peer<'_>>) -> Vec<Branch> {
     peers.sort_unstable_by_key(|peer| (peer.data_centre, peer.rank));
     let most = if uses_relays(size) { width(size) } else { 1 };
-    let centres = peers.chunk_by(|a, b| a.data_centre == b.data_centre);
-    centres
+    let data_centres = peers.chunk_by(|a, b| a.data_centre == b.data_centre);
+    data_centres
         .flat_map(|centre| centre.chunks(even_size(centre.len(), most)))
         .map(branch)
         .collect()
--- a/crates/rebalance/src/takeover.rs
+++ b/crates/rebalance/src/takeover.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Default)]
 pub struct Takeover {
     /// The last pass that was seen to begin, and when it was first seen.
-    stalled: Option<(u64, Instant)>,
+    last_pass: Option<(u64, Instant)>,
     /// The version that all ranks are to be armed with.
     version: Option<u64>,
     /// The pass before which the group is held, as each rank has confirmed it.
@@ -47,10 +47,10 @@
         silence: Duration,
         now: Instant,
     ) -> bool {
-        let since = match self.stalled {
+        let since = match self.last_pass {
             Some((step, since)) if step == maps.step => since,
             _ => {
-                self.stalled = Some((maps.step, now));
+                self.last_pass = Some((maps.step, now));
                 now
             }
         };
