--- a/crates/lease/src/guard.rs
+++ b/crates/lease/src/guard.rs
@@ -31,7 +31,7 @@
         self.fence
     }
 
-    /// Returns the instant at which the right ends.
+    /// Returns the instant at which the right expires.
     #[must_use]
     pub const fn deadline(&self) -> Instant {
         self.deadline
--- a/crates/rebalance/src/coordinator/stage.rs
+++ b/crates/rebalance/src/coordinator/stage.rs
@@ -7,7 +7,7 @@
 pub(crate) enum Stage {
     /// No round is under way.
     Idle,
-    /// The ranks load the map of this version.
+    /// The ranks load the map of the round.
     Prepare { since: Instant },
     /// The group is to be held; all ranks have loaded the map. `requested` is when a rank
     /// was last asked to hold it.
