--- a/crates/group/src/coordination.rs
+++ b/crates/group/src/coordination.rs
@@ -76,7 +76,7 @@
         if let Some(map_content) = self.plans.next(current, &self.seats, now) {
             let digest = map_content.digest();
             self.wanted.insert(digest, map_content);
-            self.step(context, Event::Want { digest });
+            self.step(context, Event::SwitchTo { digest });
         }
     }
 
@@ -160,7 +160,7 @@
                 self.wake = Some(self.wake.map_or(wake, |set| set.min(wake)));
             }
             Command::Ended(ending) => self.ended(ending),
-            Command::Superseded => tracing::info!("another agent coordinates the group now"),
+            Command::LeaseLost => tracing::info!("another agent coordinates the group now"),
         }
     }
 
--- a/crates/rebalance/src/agent.rs
+++ b/crates/rebalance/src/agent.rs
@@ -14,8 +14,8 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock::{self, Instant};
-use cactusnotch_gateway::endpoint::Born;
-use cactusnotch_gateway::wake::Wake;
+use cactusnotch_gateway::endpoint::StartTime;
+use cactusnotch_gateway::wake::SuspendDetector;
 use cactusnotch_gateway::{datagram, peer, reload, serve_metrics, store, tcp};
 use cactusnotch_telemetry::Exporter;
 use derive_more::{Display, Error};
@@ -118,10 +118,10 @@
     /// reports, and when it did.
     finisher: Option<(SocketAddr, Instant)>,
     cadence: Cadence,
-    wake: Wake,
+    wake: SuspendDetector,
     endpoint_lost: bool,
     /// The start time of the endpoint, as it last reported it.
-    born: Option<Born>,
+    born: Option<StartTime>,
     codec: PhantomData<(C, S)>,
 }
 
@@ -152,7 +152,7 @@
             hold_request: None,
             finisher: None,
             cadence: Cadence::default(),
-            wake: Wake::default(),
+            wake: SuspendDetector::default(),
             endpoint_lost: false,
             born: None,
             options,
@@ -268,7 +268,7 @@
 
     /// Reads the endpoint's state and takes the next steps.
     async fn poll_endpoint(&mut self, sockets: &Sockets, now: Instant) {
-        if self.wake.look() {
+        if self.wake.check() {
             // A hold never expires, and its requester has abandoned it by now or will
             // request it again.
             self.hold_request = None;
--- a/crates/rebalance/src/coordinator.rs
+++ b/crates/rebalance/src/coordinator.rs
@@ -18,7 +18,7 @@
 use crate::message::{Phase, Progress, Round, Status};
 use crate::plan::{self, Plan};
 use crate::state::{Maps, Place};
-use crate::{Pace, Shape};
+use crate::{Shape, Slowdown};
 use cactusnotch_base::clock::Instant;
 
 /// How long the status report of a rank is valid. Ranks repeat it several times a second.
@@ -176,7 +176,7 @@
 
     /// Returns the pace of the slowest rank.
     #[must_use]
-    pub fn slowest(&self) -> Pace {
+    pub fn slowest(&self) -> Slowdown {
         let paces = self.rows.iter().flatten().map(|row| row.status.pace);
         paces.max().unwrap_or_default()
     }
--- a/crates/rebalance/src/message.rs
+++ b/crates/rebalance/src/message.rs
@@ -5,7 +5,7 @@
 use cactusnotch_derive::message;
 use serde_bytes::ByteBuf;
 
-use crate::Pace;
+use crate::Slowdown;
 use crate::map::Move;
 use crate::state::{Maps, Place};
 
@@ -19,7 +19,7 @@
     /// The maps of the rank.
     pub maps: Maps,
     /// How slow the rank is.
-    pub pace: Pace,
+    pub pace: Slowdown,
     /// The running and waiting requests for each of its slots, in hundredths.
     pub fill: u16,
     /// The term of the leader that the agent has seen last.
--- a/crates/rebalance/src/rank.rs
+++ b/crates/rebalance/src/rank.rs
@@ -8,7 +8,7 @@
 use crate::message::{Phase, Status};
 use crate::plan;
 use crate::state::{Maps, Place};
-use crate::{Pace, Shape};
+use crate::{Shape, Slowdown};
 
 /// The decisions of the agent beside one rank: its own part in each round, and those of the
 /// leader if it is rank 0.
@@ -58,9 +58,9 @@
 
     /// Returns the pace of the slowest rank, or the default if this rank does not lead.
     #[must_use]
-    pub fn slowest(&self) -> Pace {
+    pub fn slowest(&self) -> Slowdown {
         let lead = self.coordinator.as_ref();
-        lead.map_or_else(Pace::default, Coordinator::slowest)
+        lead.map_or_else(Slowdown::default, Coordinator::slowest)
     }
 
     /// Returns whether the leader needs a report of the experts that this rank holds.
--- a/crates/rebalance/src/state.rs
+++ b/crates/rebalance/src/state.rs
@@ -2,9 +2,9 @@
 
 use cactusnotch_derive::{message, record};
 
-use cactusnotch_gateway::endpoint::Born;
+use cactusnotch_gateway::endpoint::StartTime;
 
-use crate::Pace;
+use crate::Slowdown;
 
 /// The position of a rank in its group, as its endpoint reports it.
 #[message]
@@ -55,7 +55,7 @@
     /// The maps of this rank.
     pub maps: Maps,
     /// The start time of the endpoint, if reported.
-    pub born: Option<Born>,
+    pub born: Option<StartTime>,
     /// The number of orders that the endpoint has begun.
     pub sequence: u64,
     /// The number of running requests.
@@ -63,7 +63,7 @@
     /// The number of waiting requests.
     pub waiting: u32,
     /// How slow the rank is.
-    pub pace: Pace,
+    pub pace: Slowdown,
     /// The fraction of the memory for prompts that is in use, in thousandths.
     pub memory: u16,
 }
--- a/crates/rebalance/tests/coordinator.rs
+++ b/crates/rebalance/tests/coordinator.rs
@@ -9,7 +9,7 @@
 use cactusnotch_rebalance::plan;
 use cactusnotch_rebalance::state::{Maps, Place};
 use cactusnotch_rebalance::threshold::Threshold;
-use cactusnotch_rebalance::{Pace, Shape};
+use cactusnotch_rebalance::{Shape, Slowdown};
 
 /// The gain required of a copy: next to nothing, which makes rounds follow each other.
 const THRESHOLD: Threshold = Threshold {
@@ -41,7 +41,7 @@
         place: place(rank),
         open: true,
         maps,
-        pace: Pace::default(),
+        pace: Slowdown::default(),
         fill: 50,
         term: Some(term),
         met: None,
--- a/crates/rebalance/tests/datagrams.rs
+++ b/crates/rebalance/tests/datagrams.rs
@@ -3,8 +3,8 @@
 
 use std::net::SocketAddr;
 
-use cactusnotch_gateway::endpoint::{Born, Endpoint};
-use cactusnotch_gateway::{Pace, datagram, peer};
+use cactusnotch_gateway::endpoint::{Endpoint, StartTime};
+use cactusnotch_gateway::{Slowdown, datagram, peer};
 use cactusnotch_position::{Era, Position};
 use cactusnotch_rebalance::estimate::pack;
 use cactusnotch_rebalance::map::Move;
@@ -52,7 +52,7 @@
             place: place(),
             open: true,
             maps: Maps::default(),
-            pace: Pace::default(),
+            pace: Slowdown::default(),
             fill: 50,
             term: Some(1),
             met: None,
@@ -100,7 +100,7 @@
         cold_ms: 0,
         id: "i@1".to_owned(),
         instance: "i".to_owned(),
-        born: Some(Born(1)),
+        born: Some(StartTime(1)),
         service: "s".to_owned(),
         address: agent(),
         data_centre: "z".to_owned(),
--- a/crates/rebalance/tests/world/mod.rs
+++ b/crates/rebalance/tests/world/mod.rs
@@ -13,7 +13,7 @@
 use cactusnotch_rebalance::state::Place;
 use cactusnotch_rebalance::takeover::Takeover;
 use cactusnotch_rebalance::threshold::Threshold;
-use cactusnotch_rebalance::{Map, Pace, Rank, Shape};
+use cactusnotch_rebalance::{Map, Rank, Shape, Slowdown};
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -358,10 +358,10 @@
 
     /// Returns the pace of a rank: each in turn is far slower for a while, and rounds move
     /// experts away from it.
-    fn pace(&self, at: usize) -> Pace {
+    fn pace(&self, at: usize) -> Slowdown {
         let index = self.tick / 300 % (self.ranks as u64 + 1);
         let slow = usize::try_from(index).is_ok_and(|slow| slow == at);
-        Pace::from_factor(if slow { 12.0 } else { 1.0 })
+        Slowdown::from_factor(if slow { 12.0 } else { 1.0 })
     }
 
     /// Completes the round of an unresponsive leader, and reports to other agents that do.
