--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/budget.rs
@@ -39,9 +39,9 @@
         let within = |at: Instant| now.saturating_duration_since(at) <= window;
         self.parts.iter().fold(
             (0, 0),
-            |(requests, retries), &(at, new_requests, new_retries)| {
+            |(first, retries), &(at, new_requests, new_retries)| {
                 (
-                    requests + if within(at) { new_requests } else { 0 },
+                    first + if within(at) { new_requests } else { 0 },
                     retries + new_retries,
                 )
             },
@@ -91,8 +91,8 @@
     /// Counts a request.
     pub fn record_request(&mut self, service: &str, now: Instant) {
         let row = self.row(service, now);
-        if let Some((_, requests, _)) = row.parts.back_mut() {
-            *requests += 1;
+        if let Some((_, first, _)) = row.parts.back_mut() {
+            *first += 1;
         }
     }
 
@@ -100,8 +100,8 @@
     pub fn can_retry(&mut self, service: &str, now: Instant) -> bool {
         let (ratio, window) = (self.ratio, self.window);
         let allowance = f64::from(self.allowance);
-        let (requests, retries) = self.row(service, now).sums(now, window);
-        f64::from(retries + 1) <= ratio * f64::from(requests) + allowance
+        let (first, retries) = self.row(service, now).sums(now, window);
+        f64::from(retries + 1) <= ratio * f64::from(first) + allowance
     }
 
     /// Charges a retry to the budget; returns whether the budget allowed it.
--- a/crates/gateway/tests/bounds.rs
+++ b/crates/gateway/tests/bounds.rs
@@ -47,8 +47,8 @@
                 let counted = times.iter().filter(|&&at| at <= end && end.duration_since(at) <= span);
                 u32::try_from(counted.count()).expect("few")
             };
-            let (retries, received) = (within(&repeats, WINDOW), within(&requests, reach));
-            prop_assert!(f64::from(retries) <= 0.2 * f64::from(received), "{retries} retries of {received} requests");
+            let (retries, first) = (within(&repeats, WINDOW), within(&requests, reach));
+            prop_assert!(f64::from(retries) <= 0.2 * f64::from(first), "{retries} retries of {first} requests");
         }
     }
 }
--- a/crates/gateway/tests/patience.rs
+++ b/crates/gateway/tests/patience.rs
@@ -1,9 +1,8 @@
 //! Returning callers are distinguished from first attempts by their stated time
 //! budgets.
 //!
-//! In recorded traffic, first attempts on a route stated 85 to 100 percent of the
-//! longest time budget, and callers that had been refused stated at most 0.78 of it.
-//! time, and callers that had been refused 0.78 of it or less.
+//! In recorded traffic, first attempts on a route stated 85 to 100 in 100 of the longest
+//! time budget, and callers that had been refused stated at most 0.78 of it.
 
 use std::time::Duration;
 
@@ -34,7 +33,7 @@
     let mut budgets = TimeBudgets::default();
     let mut is_returning =
         |stated: u64| budgets.has_returned("r", Some(Duration::from_millis(stated)));
-    // First attempts state 85 to 100 percent of the longest time budget.
+    // First attempts state 85 to 100 in 100 of the longest time budget.
     assert!(!is_returning(8_000));
     assert!(!is_returning(6_820));
     assert!(is_returning(6_200));
