--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration, as one version of it stands.
+//! One version of the operators' configuration.
 
 use std::time::Duration;
 
@@ -7,63 +7,64 @@
 
 use crate::route::Route;
 
-/// What a request may take up.
+/// Size and time limits of requests.
 #[record]
 #[derive(Copy)]
 pub struct Limits {
-    /// The most bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// The most bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// The longest time from a head's first byte to its last.
+    /// Maximum time from the first byte of a head to its last.
     pub head_time: Duration,
-    /// The longest time that a connection may be idle.
+    /// Maximum time that a connection may be idle.
     pub idle_time: Duration,
 }
 
 /// An organisation that sends requests.
 #[record]
 pub struct Organisation {
-    /// Its name, which endpoints are told.
+    /// Its name, which is sent to endpoints.
     pub name: String,
-    /// Its rank, which goes before that of a route; lower ones go first.
+    /// Its priority, which overrides that of a route; lower values are served first.
     pub priority: Option<u32>,
-    /// The regions whose endpoints may get its requests, none for all regions.
+    /// The data residency regions: only endpoints there may get its requests. Empty for all
+    /// regions.
     pub allowed_regions: Vec<String>,
 }
 
-/// The size of a group's expert maps and what a move costs.
+/// The dimensions of a group's expert maps and the cost of a move.
 #[record]
 #[derive(Copy)]
 pub struct Shape {
-    /// The sets of layers that share a map.
+    /// Number of layer sets that share a map.
     pub sets: usize,
-    /// The experts of a set.
+    /// Number of experts in a set.
     pub experts: usize,
-    /// The experts of a set that a rank can hold.
+    /// Number of experts of a set that a rank can hold.
     pub places: usize,
-    /// The experts of a set that one order may bring to a rank.
+    /// Number of experts of a set that one order may move to a rank.
     pub spare: usize,
     /// The time to copy one expert to a rank.
     pub copy: Duration,
-    /// The part of the work for tokens that the experts do, in thousandths.
+    /// Share of a token's work that the experts do, in thousandths.
     pub expert_part: u16,
 }
 
-/// How the model servers of a service work, in the model of a pass.
+/// Performance parameters of a service's model servers, for the model of a forward pass.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// The requests that run at once.
+    /// Number of requests that run concurrently.
     pub slots: u32,
-    /// The time of a step without requests.
+    /// Duration of a step without requests.
     pub step: Duration,
-    /// What each request that is writing adds to a step.
+    /// Time that each decoding request adds to a step.
     pub per_request: Duration,
-    /// Prompt tokens read in a second.
+    /// Prompt tokens processed per second.
     pub read_rate: f64,
-    /// The steps of a pass that writes.
+    /// Number of steps in a decoding pass.
     pub stride: u32,
-    /// The expert maps of its groups, if it has any.
+    /// The dimensions of its groups' expert maps, if it has any.
     pub shape: Option<Shape>,
 }
 
@@ -72,57 +73,58 @@
 pub struct Service {
     /// Its name.
     pub name: String,
-    /// The connections that one of its endpoints takes from all callers.
+    /// Number of connections that one of its endpoints accepts from all callers together.
     pub connections: u32,
-    /// How its endpoints work if they are model servers.
+    /// Performance parameters if its endpoints are model servers.
     pub engine: Option<Engine>,
-    /// What its endpoints take after their start, if that is bounded.
+    /// The warm-up limit of its endpoints after a start, if there is one.
     pub cold: Option<ColdStart>,
 }
 
-/// What endpoints take after their start.
+/// The warm-up limit of endpoints after a start.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ColdStart {
-    /// How long they are cold.
+    /// Duration of the warm-up.
     pub time: Duration,
-    /// The requests a second that one takes then from all entries together.
+    /// Requests per second that a warming-up endpoint accepts from all entries together.
     pub rate: Rate,
 }
 
-/// One version of the operators' configuration, with its look-ups.
+/// One version of the operators' configuration, with indexes for look-ups.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Configuration {
-    /// The operators' number of this version.
+    /// The version number that the operators gave it.
     pub version: u64,
-    /// What a request may take up.
+    /// Size and time limits of requests.
     pub limits: Limits,
     routes: Vec<Route>,
     services: Vec<Service>,
-    /// The longest pause that callers of each service accept, in the same order.
+    /// The longest pause between events that callers of each service accept, in the order of
+    /// `services`.
     pauses: Vec<Option<Duration>>,
     organisations: Vec<Organisation>,
-    /// Keys with the position of their organisation, sorted by key.
+    /// API keys with the index of their organisation, sorted by key.
     keys: Vec<(String, usize)>,
     requires_keys: bool,
 }
 
-/// What a configuration is built from.
+/// The input of [`Configuration::new`].
 #[derive(Debug, Clone, PartialEq)]
 pub struct Parts {
-    /// The operators' number of this version.
+    /// The version number that the operators gave it.
     pub version: u64,
-    /// What a request may take up.
+    /// Size and time limits of requests.
     pub limits: Limits,
-    /// The routes in any order.
+    /// The routes, in any order.
     pub routes: Vec<Route>,
-    /// The services in any order.
+    /// The services, in any order.
     pub services: Vec<Service>,
-    /// The organisations with their keys, or `None` if requests need no key.
+    /// The organisations with their API keys, or `None` if requests need no key.
     pub organisations: Option<Vec<(Organisation, Vec<String>)>>,
 }
 
 impl Configuration {
-    /// Builds the look-ups: routes by host and prefix, services by name, keys.
+    /// Builds the indexes: routes by host and prefix, services by name, organisations by key.
     #[must_use]
     pub fn new(parts: Parts) -> Self {
         let Parts {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Returns the route of `host` with the longest prefix that begins `path`.
+    /// Returns the route of `host` with the longest prefix of `path`.
     #[must_use]
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let ends = path
@@ -178,7 +180,8 @@
         None
     }
 
-    /// Returns the regions of all routes of a host that are bound to some, `None` if none is.
+    /// Returns the data residency regions of all routes of a host, `None` if no route is
+    /// restricted.
     #[must_use]
     pub fn allowed_regions(&self, host: &str) -> Option<Vec<&str>> {
         let first = self
@@ -192,26 +195,26 @@
         (!allowed.is_empty()).then_some(allowed)
     }
 
-    /// Returns all routes in order of host and prefix.
+    /// Returns all routes, sorted by host and prefix.
     #[must_use]
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// Returns the service of a name.
+    /// Returns the service with the given name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         Some(&self.services[self.position(name)?])
     }
 
-    /// Returns all services in order of their names.
+    /// Returns all services, sorted by name.
     #[must_use]
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// Returns the longest pause between events that all callers of a service
-    /// accept, if any of its routes states one.
+    /// Returns the longest pause between events that all callers of a service accept, `None`
+    /// if no route states one.
     #[must_use]
     pub fn pause(&self, service: &str) -> Option<Duration> {
         self.pauses[self.position(service)?]
@@ -223,7 +226,7 @@
             .ok()
     }
 
-    /// Returns the organisation that holds `key`.
+    /// Returns the organisation that owns `key`.
     #[must_use]
     pub fn organisation(&self, key: &str) -> Option<&Organisation> {
         let at = self
@@ -233,14 +236,14 @@
         self.organisations.get(self.keys[at].1)
     }
 
-    /// Tells whether requests on `route` need a key.
+    /// Returns whether requests on `route` need a key.
     #[must_use]
     pub const fn needs_key(&self, route: &Route) -> bool {
         self.requires_keys && !route.anonymous
     }
 }
 
-/// Returns the shortest of the longest pauses that routes to a service state.
+/// Returns the minimum over the longest accepted pauses of all routes to a service.
 fn shortest_pause(routes: &[Route], service: &str) -> Option<Duration> {
     let leads = |route: &&Route| route.backends.iter().any(|b| b.service == service);
     routes
--- a/crates/gateway/src/configuration_cache.rs
+++ b/crates/gateway/src/configuration_cache.rs
@@ -1,8 +1,9 @@
-//! The newest configuration as other entries get it.
+//! The latest configuration, served to other entries.
 //!
-//! Each entry asked the store for each version: 149 calls a change, and 824 within four
-//! seconds in which a few keys were taken back. A few ask the store; the others get what
-//! these were answered from each other, over the port on which entries exchange datagrams.
+//! When each entry fetched each version from the store, a change took 149 calls, and a
+//! revocation of a few keys took 824 within four seconds. Now a few entries call the
+//! store, and the others fetch its answers from each other over the port on which entries
+//! exchange datagrams.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -17,12 +18,12 @@
 use crate::server;
 use crate::store::Codec;
 
-/// The store's last answer that held a configuration.
+/// The store's last answer that contained a configuration.
 #[derive(Debug, Default)]
 pub(crate) struct ConfigurationCache(RefCell<Option<(Era, Bytes)>>);
 
 impl ConfigurationCache {
-    /// Takes a newer answer, which was given in `era`.
+    /// Replaces the answer with a newer one, which the store gave in `era`.
     pub(crate) fn set(&self, era: Era, body: Bytes) {
         *self.0.borrow_mut() = Some((era, body));
     }
@@ -39,7 +40,7 @@
     }
 }
 
-/// Hands the newest configuration out for as long as the process lives.
+/// Serves the latest configuration to other entries until the process ends.
 pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>, listener: TcpListener) {
     server::accept(listener, |stream| {
         let shared = Rc::clone(&shared);
--- a/crates/gateway/src/confirmation.rs
+++ b/crates/gateway/src/confirmation.rs
@@ -1,19 +1,19 @@
-//! Which answers of the store prove that the known configuration is the newest one.
+//! Which answers of the store confirm that the cached configuration is the latest one.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_position::Era;
 
-/// The time that operators and endpoints are given, once the store came back from an older
-/// copy, to write again what it has lost. An entry hears of newer configurations that others
-/// know within it, too.
+/// Time that operators and endpoints have, after the store was restored from an older copy, to
+/// write again what was lost. Within this time, an entry also receives newer configurations
+/// that other entries have cached.
 pub const REWRITE_TIME: Duration = Duration::from_secs(2);
 
-/// The newest configuration that the store has shown in its era.
+/// The latest configuration that the store has returned in its era.
 ///
-/// A store that came back from an older copy may lack a configuration that was accepted: that
-/// nothing newer is there proves nothing until it has shown what is known again.
+/// A store that was restored from an older copy may lack an accepted configuration. The
+/// absence of a newer one confirms nothing until the store has returned the cached one again.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Shown {
     era: Era,
@@ -21,7 +21,7 @@
 }
 
 impl Shown {
-    /// Takes that the store has shown `version` in `era`.
+    /// Records that the store has returned `version` in `era`.
     pub const fn record(&mut self, era: Era, version: u64) {
         if era.0 > self.era.0 {
             *self = Self { era, version };
@@ -30,18 +30,19 @@
         }
     }
 
-    /// Tells whether an answer of `era` to what was asked at `asked`, with nothing newer than
-    /// what was shown, proves that the `known` version was the newest one then. `young_since`
-    /// tells since when the store has been in this era, if it may have lost something with it.
+    /// Returns whether an answer of `era` to a call sent at `sent_at`, with nothing newer than
+    /// the recorded version, confirms that the `known` version was the latest one at that
+    /// time. `unsettled_since` is the time since when the store has been in this era, if the era's
+    /// start may have lost data.
     #[must_use]
     pub fn confirms(
         &self,
         known: u64,
         era: Era,
-        asked: Instant,
-        young_since: Option<Instant>,
+        sent_at: Instant,
+        unsettled_since: Option<Instant>,
     ) -> bool {
-        let settled = young_since.is_none_or(|since| asked >= since + REWRITE_TIME);
+        let settled = unsettled_since.is_none_or(|since| sent_at >= since + REWRITE_TIME);
         settled && self.era == era && self.version >= known
     }
 }
--- a/crates/gateway/src/datagram.rs
+++ b/crates/gateway/src/datagram.rs
@@ -1,20 +1,20 @@
-//! Datagrams as CBOR.
+//! Encoding of datagrams as CBOR.
 
 use derive_more::{Display, Error};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-/// What most datagrams need.
+/// Initial buffer size in bytes, enough for most datagrams.
 const USUAL: usize = 128;
 
-/// Why a datagram can't be read.
+/// A datagram that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("unreadable datagram: {detail}")]
 pub struct Unreadable {
     detail: String,
 }
 
-/// Returns the bytes of a datagram.
+/// Encodes a datagram.
 ///
 /// # Panics
 ///
@@ -22,15 +22,15 @@
 #[must_use]
 pub fn encode(datagram: &impl Serialize) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(USUAL);
-    ciborium::into_writer(datagram, &mut bytes).expect("memory takes every write");
+    ciborium::into_writer(datagram, &mut bytes).expect("writing to memory does not fail");
     bytes
 }
 
-/// Reads a datagram.
+/// Decodes a datagram.
 ///
 /// # Errors
 ///
-/// Returns what is wrong with the bytes.
+/// Returns the decoder's message if the bytes are not a valid datagram.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, Unreadable> {
     ciborium::from_reader(bytes).map_err(|error| Unreadable {
         detail: error.to_string(),
--- a/crates/gateway/src/endpoint.rs
+++ b/crates/gateway/src/endpoint.rs
@@ -1,60 +1,61 @@
-//! An endpoint as it registered itself.
+//! An endpoint as it registered itself in the store.
 
 use std::net::SocketAddr;
 
 use cactusnotch_derive::{message, number};
 use cactusnotch_position::Position;
 
-/// When an endpoint started, in Unix milliseconds of its own clock.
+/// Start time of an endpoint, in Unix milliseconds of its own clock.
 #[number]
 pub struct StartTime(pub u64);
 
-/// An endpoint as it registered itself.
+/// An endpoint as it registered itself in the store.
 #[message]
 #[derive(Eq)]
 pub struct Endpoint {
-    /// The name of this life of the endpoint, which no other life has.
+    /// The unique id of this incarnation of the endpoint.
     pub id: String,
-    /// The name under which it is registered. One that starts again may keep it, and knows
-    /// nothing of before.
+    /// The name of its registration. An endpoint may keep it across a restart, but keeps no
+    /// state.
     pub instance: String,
-    /// When it started, if it says so.
+    /// Its start time, if it states one.
     pub born: Option<StartTime>,
-    /// The service that it belongs to.
+    /// The service that it serves.
     pub service: String,
-    /// Where it takes requests.
+    /// The address that it accepts requests on.
     pub address: SocketAddr,
-    /// The data centre that it stands in.
+    /// The data centre that it runs in.
     pub data_centre: String,
-    /// The requests that it runs at once.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it takes no new requests since it is about to leave.
+    /// Whether it is leaving and accepts no new requests.
     pub leaving: bool,
-    /// How much longer it is cold, in milliseconds, as its registration says: it takes few
-    /// requests a second until then. Zero once it is warm.
+    /// Remaining warm-up time at registration, in milliseconds, during which it accepts few
+    /// requests per second. Zero once it is warmed up.
     pub cold_ms: u32,
-    /// The position at which this incarnation registered itself.
+    /// The position in the store at which this incarnation registered itself.
     pub registered: Position,
 }
 
 impl Endpoint {
-    /// Tells whether `other` has ended since this one lives: an address is used by one
-    /// process at a time, and a registration tells of one life. Of registrations that were
-    /// read in two eras of the store neither is the later one.
+    /// Returns whether `other` must have terminated because this incarnation runs: an
+    /// address is used by one process at a time, and a registration describes one
+    /// incarnation. Registrations that were read in different eras of the store are not
+    /// ordered.
     #[must_use]
     pub fn supersedes(&self, other: &Self) -> bool {
         let at_address = self.address == other.address && self.registered > other.registered;
         self.id != other.id && (at_address || self.follows(other))
     }
 
-    /// Tells whether this is known to leave though the `copy` that the store came back from
-    /// doesn't say so: it was made before.
+    /// Returns whether this endpoint is leaving although its registration `copy` of a later
+    /// era does not say so, since the store was restored from an older copy.
     #[must_use]
     pub fn stays_leaving(&self, copy: &Self) -> bool {
         self.leaving && self.registered.era() < copy.registered.era()
     }
 
-    /// Tells whether this is a later life of the same registration.
+    /// Returns whether this is a later incarnation of the same registration.
     fn follows(&self, other: &Self) -> bool {
         self.instance == other.instance && self.born > other.born
     }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -19,28 +19,28 @@
     configuration_cache, listing, record, registration, reload, renewal, server, stop, tcp, watcher,
 };
 
-/// Why an entry can't start or go on.
+/// An error that stops an entry.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// An address can't be listened on.
+    /// An address can't be bound.
     #[display("listen on {address}: {error}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What went wrong.
+        /// The cause.
         error: io::Error,
     },
-    /// The process can't be set up.
+    /// A part of the process can't be set up.
     #[display("{step}: {error}")]
     Setup {
-        /// What was being set up.
+        /// The part that was set up.
         step: &'static str,
-        /// What went wrong.
+        /// The cause.
         error: io::Error,
     },
 }
 
-/// An entry that forwards requests straight to endpoints.
+/// An entry that forwards requests directly to endpoints.
 #[derive(Debug)]
 pub struct Entry<D, C> {
     options: Options,
@@ -59,12 +59,13 @@
         }
     }
 
-    /// Serves until a stop is asked for and has been carried out. `read` is
-    /// called for the settings while it serves.
+    /// Serves until a stop has been requested and completed. `read` is called
+    /// to reload the settings while it serves.
     ///
     /// # Errors
     ///
-    /// Returns why the entry can't start.
+    /// Returns an error if an address can't be bound or a part of the process
+    /// can't be set up.
     pub fn run<E>(self, read: impl Fn() -> Result<Options, E> + 'static) -> Result<(), Error>
     where
         E: std::fmt::Display + 'static,
@@ -80,7 +81,7 @@
             let reloading = reload::run(Rc::clone(&shared), read);
             tokio::task::spawn_local(async move {
                 if let Err(error) = reloading.await {
-                    tracing::error!(%error, "settings are not reloaded");
+                    tracing::error!(%error, "reloading of settings is unavailable");
                 }
             });
             stop::run::<C>(shared, socket, closing)
@@ -89,7 +90,7 @@
         })
     }
 
-    /// Starts all tasks.
+    /// Binds all sockets and spawns all tasks.
     async fn start(self) -> Result<(Rc<SharedState>, Rc<UdpSocket>, watch::Sender<bool>), Error> {
         let listen =
             |address| tcp::listen(address).map_err(|error| Error::Listen { address, error });
@@ -101,7 +102,7 @@
             peers,
             ..
         } = self.options;
-        let (callers, readiness, directory, metrics, handouts) = (
+        let (callers, readiness, directory, metrics, configurations) = (
             listen(front)?,
             listen(readiness)?,
             listen(directory)?,
@@ -134,7 +135,10 @@
         tokio::task::spawn_local(server::questions::<D>(Rc::clone(&shared), readiness));
         tokio::task::spawn_local(server::questions::<D>(Rc::clone(&shared), directory));
         tokio::task::spawn_local(server::metrics(self.exporter, metrics));
-        tokio::task::spawn_local(configuration_cache::run::<C>(Rc::clone(&shared), handouts));
+        tokio::task::spawn_local(configuration_cache::run::<C>(
+            Rc::clone(&shared),
+            configurations,
+        ));
         tokio::task::spawn_local(listing::run(Rc::clone(&shared), Rc::clone(&socket)));
         Ok((shared, socket, closing))
     }
--- a/crates/gateway/src/evacuations.rs
+++ b/crates/gateway/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! The data centres that operators have emptied, as an entry believes it.
+//! The data centres that operators have evacuated, as cached by an entry.
 
 use std::time::Duration;
 
@@ -6,56 +6,57 @@
 use cactusnotch_base::clock::Instant;
 use cactusnotch_position::Position;
 
-/// The data centres whose endpoints are to get nothing more.
+/// The data centres whose endpoints must get no more requests.
 ///
-/// The store's answers and other entries tell of them. Of two states that were read in one era
-/// of the store the later one counts; what an older copy lacks is kept for a while, in which
-/// operators can write it again.
+/// Updated by the store's answers and by reports of other entries. Of two states that were
+/// read in the same era of the store, the later one counts. Evacuations that an older copy of
+/// the store lacks are kept for some time, in which operators can write them again.
 #[derive(Debug, Default)]
 pub struct Evacuations {
-    /// Each with when it ends, if the store may have lost it.
+    /// Each with its expiry time, if the store may have lost it.
     rows: Table<String, Option<Instant>>,
-    /// The position at which they were read last, none before they are known.
+    /// The position at which they were last read, `None` before the first read.
     position: Option<Position>,
-    /// When the question was asked whose answer showed these and no others.
+    /// Send time of the latest call whose answer confirmed this state.
     confirmed: Option<Instant>,
 }
 
-/// What one entry tells others.
+/// The state that one entry reports to others.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Report {
     /// The position at which the state was read.
     pub position: Position,
-    /// The data centres that are evacuated.
+    /// The evacuated data centres.
     pub data_centres: Vec<String>,
 }
 
 impl Evacuations {
-    /// Tells whether they are known.
+    /// Returns whether the evacuations have been read.
     #[must_use]
     pub const fn are_known(&self) -> bool {
         self.position.is_some()
     }
 
-    /// Returns the position up to which they are known.
+    /// Returns the position up to which they were read.
     #[must_use]
     pub fn position(&self) -> Position {
         self.position.unwrap_or_default()
     }
 
-    /// Returns the data centres that are evacuated, in the order of their names.
+    /// Returns the evacuated data centres, sorted by name.
     pub fn names(&self) -> impl Iterator<Item = &str> {
         self.rows.keys().map(String::as_str)
     }
 
-    /// Returns how old the knowledge is, if it has been confirmed.
+    /// Returns the time since the last confirmation, `None` without one.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
         Some(now.saturating_duration_since(self.confirmed?))
     }
 
-    /// Takes a listing. What it lacks is over; but one of a later era may lack what operators
-    /// will write again, which is kept until `rewritten`.
+    /// Applies a listing. Evacuations missing from it have ended. If the listing is of another
+    /// era, operators may still write the missing ones again, so they are kept until
+    /// `rewritten`.
     pub fn replace(&mut self, names: &[String], position: Position, rewritten: Option<Instant>) {
         let is_copy = self.position.is_some_and(|p| p.era() != position.era());
         self.rows.retain(|name, until| {
@@ -70,24 +71,25 @@
         self.position = Some(position);
     }
 
-    /// Takes that a data centre is evacuated.
+    /// Records that a data centre is evacuated.
     pub fn insert(&mut self, name: &str) {
         self.rows.insert(name.to_owned(), None);
     }
 
-    /// Takes that the evacuation of a data centre was taken back.
+    /// Records that the evacuation of a data centre has ended.
     pub fn remove(&mut self, name: &str) {
         self.rows.remove(name);
     }
 
-    /// Takes that an answer to what was asked at `asked` shows all changes up to `position`.
-    pub fn confirm(&mut self, position: Position, asked: Instant) {
+    /// Records that the answer to a call sent at `sent_at` includes all changes up to
+    /// `position`.
+    pub fn confirm(&mut self, position: Position, sent_at: Instant) {
         self.position = Some(self.position().newest(position));
-        self.confirmed = self.confirmed.max(Some(asked));
+        self.confirmed = self.confirmed.max(Some(sent_at));
     }
 
-    /// Takes what another entry tells, which was confirmed at `confirmed` if that is known.
-    /// Of another era it says nothing here.
+    /// Applies the report of another entry, which the store confirmed at `confirmed` if that
+    /// time is available. Reports of another era or of an earlier position are ignored.
     pub fn apply_report(&mut self, report: &Report, confirmed: Option<Instant>) {
         let is_comparable = self
             .position
@@ -100,16 +102,16 @@
         self.confirmed = self.confirmed.max(confirmed);
     }
 
-    /// Ends those that the store has lost and nobody has written again.
+    /// Removes those that the store has lost and that were not written again in time.
     pub fn expire(&mut self, now: Instant) {
         self.rows
             .retain(|_, until| until.is_none_or(|until| until > now));
     }
 
-    /// Returns what other entries need to know.
+    /// Returns the report for other entries.
     #[must_use]
     pub fn report(&self) -> Option<Report> {
-        // What the store may have lost is each entry's own to keep.
+        // Evacuations that the store may have lost are kept locally and not reported.
         let firm = self.rows.iter().filter(|(_, until)| until.is_none());
         Some(Report {
             position: self.position?,
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The endpoints that an entry knows, and the choice among them.
+//! The endpoints in an entry's cached state, and the choice among them.
 
 mod cold;
 mod criteria;
@@ -32,22 +32,22 @@
 use crate::peer::Load;
 use cactusnotch_throttle::{Cold, Limits, Rests, Tolerance};
 
-/// Streams are moved away from stragglers while these are at most one in so many of
-/// the service's endpoints: the others have to have room for them.
+/// Streams are moved away from stragglers only while these are at most one in this many of
+/// the service's endpoints: the others need room for the moved streams.
 const STRAGGLERS_PART: usize = 4;
 
-/// What an agent's word leads to.
+/// What a load report is combined with to update the router.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct LoadContext {
-    /// The requests that its endpoint runs at once.
+    /// Number of requests that the endpoint runs concurrently.
     pub(crate) slots: u32,
-    /// The entries that use the endpoint.
+    /// Number of entries that use the endpoint.
     pub(crate) sharers: u32,
-    /// How many times longer its passes are than the shortest of its service.
+    /// Ratio of its pass duration to the shortest of its service.
     pub(crate) slower: f64,
 }
 
-/// The endpoints that an entry knows.
+/// The endpoints in an entry's cached state.
 #[derive(Debug)]
 pub(crate) struct Fleet {
     data_centre: name::DataCentre,
@@ -55,19 +55,19 @@
     routers: Table<String, Router>,
     /// The services whose endpoints are ranks of groups, sorted.
     ranked: Vec<String>,
-    /// Those of them of which this entry uses some endpoints alone, with a fingerprint of
-    /// the entries and endpoints that these were chosen from.
+    /// The ranked services of which this entry uses only a subset of the endpoints, with a
+    /// fingerprint of the entries and endpoints from which the subset was computed.
     shared: Table<String, u64>,
-    /// When the first of the missing endpoints is to be dropped.
+    /// When the first missing endpoint is to be dropped.
     expires: Option<Instant>,
     terminated: Terminated,
     leaving_notices: LeavingNotices,
     limits: Limits,
     rests: Rests,
     cold: Cold,
-    /// What endpoints take after their start, by service.
+    /// The warm-up limits by service.
     cold_starts: Table<String, ColdStart>,
-    /// The data centres whose endpoints get nothing.
+    /// The data centres whose endpoints get no requests.
     evacuated: Vec<String>,
 }
 
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Takes the services of a configuration.
+    /// Applies the services of a configuration.
     pub(crate) fn configure(&mut self, services: &[Service], now: Instant) {
         self.routers
             .retain(|name, _| services.iter().any(|service| service.name == *name));
@@ -120,9 +120,10 @@
         }
     }
 
-    /// Takes an endpoint's registration; returns whether anything changed. Of two at one
-    /// address the later one lives: the other's registration lapses only seconds after
-    /// its end, and what is sent there meanwhile is refused.
+    /// Applies an endpoint's registration; returns whether anything changed. Of two
+    /// endpoints at one address the later one runs: the earlier registration lapses only
+    /// seconds after the endpoint's termination, and requests sent there in the meantime
+    /// are refused.
     pub(crate) fn insert(&mut self, mut endpoint: Endpoint, now: Instant) -> bool {
         if !self.rows.contains(&endpoint.id) && self.terminated.is_unconfirmed(&endpoint, now) {
             tracing::info!(
@@ -153,7 +154,7 @@
         self.end_earlier_incarnations(&endpoint, now);
         let service = endpoint.service.clone();
         let ranked = self.ranked.binary_search(&service).is_ok();
-        // One that is new to a shared service is used once it was chosen.
+        // A new endpoint of a service with subsets is used only once it has been chosen.
         let used = !self.shared.contains(&service);
         let shares_limit = self.limits.shares(&endpoint.instance);
         let id = endpoint.id.clone();
@@ -167,53 +168,50 @@
         true
     }
 
-    /// Drops the endpoints that are still missing after an outage; returns
+    /// Drops the endpoints that are still missing after an outage of the store; returns
     /// their names.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<String> {
         if self.expires.is_none_or(|at| at > now) {
             return Vec::new();
         }
         let due = |row: &Row| row.missing_until.is_some_and(|until| until <= now);
-        let gone: Vec<_> = self
+        let expired: Vec<_> = self
             .rows
             .iter()
             .filter(|(_, row)| due(row))
             .map(|(id, _)| id.clone())
             .collect();
-        for id in &gone {
+        for id in &expired {
             self.end(id, now);
         }
         self.expires = self.rows.values().filter_map(|row| row.missing_until).min();
-        gone
+        expired
     }
 
-    /// Returns an endpoint.
     pub(crate) fn get(&self, id: &str) -> Option<&Endpoint> {
         self.rows.get(id).map(|row| &row.endpoint)
     }
 
-    /// Returns all endpoints.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Endpoint> {
         self.rows.values().map(|row| &row.endpoint)
     }
 
-    /// Tells whether an endpoint may get a request now.
+    /// Returns whether an endpoint is registered and accepts new requests.
     pub(crate) fn takes_work(&self, id: &str) -> bool {
         self.get(id).is_some_and(|e| self.takes_new_work(e))
     }
 
-    /// Tells whether an endpoint takes new work: it is not leaving, nor is its data centre
-    /// evacuated.
+    /// Returns whether an endpoint accepts new requests: it is not leaving and its data
+    /// centre is not evacuated.
     pub(super) fn takes_new_work(&self, endpoint: &Endpoint) -> bool {
         !endpoint.leaving && !self.is_evacuated(endpoint)
     }
 
-    /// Tells whether the data centre of an endpoint is evacuated.
     pub(super) fn is_evacuated(&self, endpoint: &Endpoint) -> bool {
         self.evacuated.contains(&endpoint.data_centre)
     }
 
-    /// Takes the data centres whose endpoints get nothing from now on.
+    /// Replaces the data centres whose endpoints get no requests.
     pub(crate) fn set_evacuated(&mut self, data_centres: Vec<String>) {
         self.evacuated = data_centres;
         let services: Vec<_> = self.routers.keys().cloned().collect();
@@ -222,7 +220,7 @@
         }
     }
 
-    /// Chooses an endpoint of `service` for a request and counts it there.
+    /// Chooses an endpoint of `service` for a request and counts the request there.
     pub(crate) fn start(
         &mut self,
         service: &str,
@@ -248,14 +246,14 @@
         Ok((choice, attempt))
     }
 
-    /// Notes the first piece of an answer.
+    /// Records the first piece of an answer.
     pub(crate) fn first_piece(&mut self, service: &str, attempt: &mut Attempt, now: Instant) {
         if let Some(router) = self.routers.get_mut(service) {
             router.first_piece(attempt, now);
         }
     }
 
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt.
     pub(crate) fn finish(
         &mut self,
         service: &str,
@@ -268,8 +266,8 @@
         }
     }
 
-    /// Takes what the agent of an endpoint tells, whose service's streams have the
-    /// longest pause `pause`; there are so many `entries`.
+    /// Applies the load report of an endpoint's agent. `pause` returns the longest pause
+    /// that streams of a service accept; `entries` is the number of entries.
     pub(crate) fn apply_load(
         &mut self,
         load: &Load,
@@ -301,7 +299,7 @@
         })
     }
 
-    /// Returns the ratio of a pass, in milliseconds, to the shortest of its service.
+    /// Returns the ratio of `pass`, in milliseconds, to the shortest pass of its service.
     fn slower(&self, service: &str, pass: u16, now: Instant) -> f64 {
         let rows = self.rows.values();
         let passes = rows.filter(|row| row.endpoint.service == service);
@@ -311,8 +309,8 @@
         least.map_or(1.0, |least| pass.as_secs_f64() / least.as_secs_f64())
     }
 
-    /// Tells whether an endpoint is so slow that its streams should go on elsewhere,
-    /// and few enough others of its service are.
+    /// Returns whether an endpoint is so slow that its streams should move elsewhere, and
+    /// few enough endpoints of its service are.
     pub(crate) fn is_straggler(&self, id: &str, now: Instant) -> bool {
         let Some(row) = self.rows.get(id).filter(|row| row.straggles(now)) else {
             return false;
@@ -327,23 +325,23 @@
         slow.count() * STRAGGLERS_PART <= all
     }
 
-    /// Tells whether an endpoint is known not to serve.
+    /// Returns whether an endpoint is known to be out of service.
     pub(crate) fn is_lost(&self, id: &str, now: Instant) -> bool {
         self.rows.get(id).is_some_and(|row| row.is_lost(now))
     }
 
-    /// Returns how long a pass takes at an endpoint, if that was told lately.
+    /// Returns the duration of a pass at an endpoint, if it was reported recently.
     pub(crate) fn pass(&self, id: &str, now: Instant) -> Option<Duration> {
         self.rows.get(id)?.pass(now)
     }
 
-    /// Returns the endpoints whose agents are looked for.
+    /// Returns the addresses of endpoints whose agents have not sent a first report yet.
     pub(crate) fn awaiting_agent(&self, now: Instant) -> Vec<SocketAddr> {
         let awaiting_agent = self.rows.values().filter(|row| row.is_awaiting_agent(now));
         awaiting_agent.map(|row| row.endpoint.address).collect()
     }
 
-    /// Takes a load report of the endpoint at `address`.
+    /// Applies a load report of the endpoint at `address` to its router.
     pub(crate) fn report(&mut self, address: SocketAddr, report: &Report, now: Instant) {
         let found = self
             .rows
@@ -362,7 +360,7 @@
         }
     }
 
-    /// Gives the router of a service its endpoints anew.
+    /// Updates the members of a service's router and their states.
     fn refresh(&mut self, service: &str) {
         let own = sharing::used(&self.rows).filter(|e| e.service == service);
         let own: Vec<_> = own
--- a/crates/gateway/src/fleet/cold.rs
+++ b/crates/gateway/src/fleet/cold.rs
@@ -1,4 +1,4 @@
-//! Endpoints that take few requests a second since they have started lately.
+//! Endpoints that accept few requests per second because they started recently.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::peer::Load;
 
 impl Fleet {
-    /// Takes what the operators state of endpoints that start.
+    /// Applies the operators' warm-up limits.
     pub(super) fn set_cold_starts(&mut self, services: &[Service], now: Instant) {
         let before = std::mem::take(&mut self.cold_starts);
         for service in services {
@@ -20,8 +20,9 @@
                 self.cold_starts.insert(service.name.clone(), cold);
             }
         }
-        // Endpoints that were known before their service stay cold for longer rather than for
-        // less; what others registered counted when they did.
+        // Endpoints that were registered before their service was configured start the full
+        // remaining time now, which errs on the long side. For all others the limit started
+        // with their registration.
         let is_new = |e: &&Endpoint| e.cold_ms > 0 && !before.contains(&e.service);
         let cold: Vec<_> = self.iter().filter(is_new).cloned().collect();
         for endpoint in cold {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Takes how long an endpoint stays cold, as it has registered itself.
+    /// Applies the remaining warm-up time of an endpoint's registration.
     pub(super) fn apply_cold_start(&mut self, endpoint: &Endpoint, now: Instant) {
         if endpoint.cold_ms == 0 {
             self.end_cold_start(&endpoint.instance, "its registration", now);
@@ -39,8 +40,9 @@
         self.begin_cold_start(endpoint, left, "its registration", now);
     }
 
-    /// Takes that the agent of an endpoint tells of a later life than the one that is known:
-    /// it has just started, whatever its registration will say.
+    /// Starts the warm-up limit if the agent of an endpoint reports a later incarnation than
+    /// the registered one: the endpoint has just restarted, whatever its next registration
+    /// says.
     pub(super) fn note_later_start(&mut self, endpoint: &Endpoint, load: &Load, now: Instant) {
         if load.born <= endpoint.born || self.is_cold(&endpoint.instance) {
             return;
@@ -50,7 +52,7 @@
         }
     }
 
-    /// Ends the coldness of endpoints whose time is over.
+    /// Ends the warm-up of endpoints whose time is over.
     pub(super) fn expire_cold_starts(&mut self, now: Instant) {
         for instance in self.cold.expire(now) {
             tracing::info!(endpoint = instance, source = "its time", "endpoint is warm");
@@ -58,12 +60,12 @@
         }
     }
 
-    /// Returns how many endpoints are cold.
+    /// Returns the number of endpoints that are warming up.
     pub(crate) fn cold(&self) -> usize {
         self.cold.len()
     }
 
-    /// Tells whether an endpoint is cold.
+    /// Returns whether an endpoint is warming up.
     pub(super) fn is_cold(&self, instance: &str) -> bool {
         self.cold.rate(instance).is_some()
     }
--- a/crates/gateway/src/fleet/criteria.rs
+++ b/crates/gateway/src/fleet/criteria.rs
@@ -1,15 +1,16 @@
-//! What a request wants of its endpoint.
+//! The criteria by which an endpoint is chosen for a request.
 
 use cactusnotch_base::name;
 
-/// What a request wants of its endpoint beside the service.
+/// The criteria by which an endpoint is chosen for a request, besides the
+/// service.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Criteria<'a> {
-    /// The tokens of its prompt.
+    /// Number of tokens in its prompt.
     pub(crate) tokens: u32,
-    /// The endpoints that it has been sent to.
+    /// The endpoints that it has already been sent to.
     pub(crate) tried: &'a [name::Endpoint],
-    /// Whether it may try an endpoint that has failed.
+    /// Whether it may be sent to an endpoint that has failed before.
     pub(crate) may_probe: bool,
     /// The data centres that it may be sent to, `None` for all.
     pub(crate) within: Option<&'a [name::DataCentre]>,
--- a/crates/gateway/src/fleet/exclusion.rs
+++ b/crates/gateway/src/fleet/exclusion.rs
@@ -1,4 +1,4 @@
-//! Which endpoints get no request for now.
+//! Which endpoints currently get no requests.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::name;
@@ -11,42 +11,43 @@
 /// Why an endpoint that was chosen gets no request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, derive_more::Display)]
 pub(crate) enum Exclusion {
-    /// It is leaving.
+    /// The endpoint is leaving.
     #[display("the endpoint began to leave")]
     Leaving,
     /// Its data centre is evacuated.
     #[display("the endpoint's data centre is evacuated")]
     Evacuated,
-    /// It has asked for rest.
+    /// The endpoint has asked for a back-off.
     #[display("the endpoint rests")]
     Resting,
-    /// This entry has used its part of the limit.
+    /// This entry has used its allotment of the endpoint's rate limit.
     #[display("the endpoint is at its limit")]
     Limited,
-    /// This entry has used its part of what a cold endpoint takes.
+    /// This entry has used its allotment of the endpoint's warm-up limit.
     #[display("the endpoint is cold and takes no more")]
     Cold,
 }
 
-/// The endpoints of a service that get no request for now.
+/// Counts of a service's endpoints that currently get no requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Exclusions {
-    /// Those that rest.
+    /// Endpoints in back-off.
     pub(crate) resting: usize,
-    /// Those at their limit.
+    /// Endpoints at their rate limit.
     pub(crate) limited: usize,
-    /// Those that are cold.
+    /// Endpoints at their warm-up limit.
     pub(crate) cold: usize,
-    /// Those at their limit or cold whose requests this entry shares.
+    /// Endpoints at their rate or warm-up limit of which this entry has an allotment.
     pub(crate) shared: usize,
-    /// The requests a second that all entries together may send to all endpoints that have a
-    /// limit or are cold.
+    /// Sum of the rate and warm-up limits of all endpoints that have one, in requests per
+    /// second from all entries together.
     pub(crate) rate: f64,
 }
 
 impl Fleet {
-    /// Takes that a request is about to be sent to an endpoint, if that may get one. All
-    /// requests come by here, repeated and resumed ones as well.
+    /// Counts a request that is about to be sent to an endpoint, unless the endpoint
+    /// currently gets none. All requests pass through here, including repeated and resumed
+    /// ones.
     pub(crate) fn admit(&mut self, endpoint: &Endpoint, now: Instant) -> Result<(), Exclusion> {
         let instance = endpoint.instance.as_str();
         if let Some(exclusion) = self.exclusion(endpoint, now) {
@@ -59,7 +60,7 @@
         Ok(())
     }
 
-    /// Returns why an endpoint gets no request now, if it gets none.
+    /// Returns why an endpoint currently gets no requests, `None` if it does get them.
     fn exclusion(&self, endpoint: &Endpoint, now: Instant) -> Option<Exclusion> {
         let holds = |withheld: Option<Withheld>| withheld.is_some_and(|w| w.holds(now));
         let instance = endpoint.instance.as_str();
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Returns which endpoints of a service get no request for now.
+    /// Counts the endpoints of a service that currently get no requests.
     pub(crate) fn exclusions(&self, service: &str, now: Instant) -> Exclusions {
         let mut exclusions = Exclusions::default();
         for endpoint in self.iter().filter(|endpoint| endpoint.service == service) {
@@ -102,22 +103,22 @@
         exclusions
     }
 
-    /// Tells whether this entry shares the limit of an endpoint.
+    /// Returns whether this entry has an allotment of an endpoint's rate limit.
     pub(crate) fn shares_limit(&self, instance: &str) -> bool {
         self.limits.shares(instance)
     }
 
-    /// Returns how many endpoints have a limit.
+    /// Returns the number of endpoints with a rate limit.
     pub(crate) fn limited(&self) -> usize {
         self.limits.limited()
     }
 
-    /// Returns how many endpoints rest.
+    /// Returns the number of endpoints in back-off.
     pub(crate) fn resting(&self, now: Instant) -> usize {
         self.rests.resting(now)
     }
 
-    /// Returns until when an endpoint gets no request.
+    /// Returns until when an endpoint gets no requests, by all of its limits.
     pub(super) fn withheld(&self, instance: &str) -> Option<Withheld> {
         self.limits
             .withheld(instance)
@@ -125,7 +126,7 @@
             .max(self.cold.withheld(instance))
     }
 
-    /// Has the router withhold requests from an endpoint for as long as that has said.
+    /// Updates the router with the time until which an endpoint gets no requests.
     pub(super) fn withhold(&mut self, service: &str, id: &str, instance: &str) {
         let withheld = self.withheld(instance);
         if let Some(router) = self.routers.get_mut(service) {
--- a/crates/gateway/src/fleet/leaving_notices.rs
+++ b/crates/gateway/src/fleet/leaving_notices.rs
@@ -1,7 +1,7 @@
-//! Endpoints that have said in an answer that they leave.
+//! Endpoints that announced in an answer that they are leaving.
 //!
-//! The store may know of it later or not at all, or be away: what this entry was told holds for
-//! that life of the endpoint, whatever the store says of it.
+//! The store may receive the notice later or never, or be unavailable. A notice therefore holds
+//! for that incarnation of the endpoint, regardless of its registration in the store.
 
 use std::time::Duration;
 
@@ -10,10 +10,10 @@
 
 use crate::endpoint::Endpoint;
 
-/// How long it is remembered: an endpoint that leaves ends within seconds, and its
-/// registration a few later.
+/// How long a notice is kept. A leaving endpoint terminates within seconds, and its
+/// registration lapses a few seconds later.
 const MEMORY_TIME: Duration = Duration::from_mins(10);
-/// The most that are remembered: all of 1,300 endpoints may be replaced within that time.
+/// Limit of kept notices: all of 1,300 endpoints may be replaced within that time.
 const ROWS_MAX: usize = 2_048;
 
 #[derive(Debug)]
@@ -23,15 +23,15 @@
     until: Instant,
 }
 
-/// The lives of endpoints that have said that they leave.
+/// The incarnations of endpoints that announced that they are leaving.
 #[derive(Debug, Default)]
 pub(super) struct LeavingNotices {
-    /// In the order in which they said so.
+    /// In the order of the notices.
     rows: Vec<Row>,
 }
 
 impl LeavingNotices {
-    /// Takes that a life says that it leaves; tells whether that is new.
+    /// Records the notice of an incarnation; returns whether it is new.
     pub(super) fn add(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
         self.rows.retain(|row| row.until > now);
         if self.covers(endpoint) {
@@ -48,8 +48,8 @@
         true
     }
 
-    /// Tells whether a registration is of a life that leaves. One that doesn't say when it
-    /// started is a new life if it was registered later.
+    /// Returns whether a registration belongs to an incarnation that is leaving. A registration
+    /// without a start time belongs to a new incarnation if it is later.
     pub(super) fn covers(&self, endpoint: &Endpoint) -> bool {
         let is_new = |row: &Row| endpoint.born.is_none() && endpoint.registered > row.registered;
         let same = |row: &&Row| row.id == endpoint.id && !is_new(row);
--- a/crates/gateway/src/fleet/lives.rs
+++ b/crates/gateway/src/fleet/lives.rs
@@ -1,4 +1,4 @@
-//! Which lives of endpoints have ended.
+//! Detects which incarnations of endpoints have terminated.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use super::row::Row;
 use crate::endpoint::Endpoint;
 
-/// How long a registration of an earlier start than the known one is not taken. A server
-/// writes its own each 1.2 s, which shows which of the two lives.
+/// How long a registration with an earlier start time than the cached one is deferred. A server
+/// renews its registration every 1.2 s, which shows which of the two incarnations runs.
 const EARLIER_START_TIME: Duration = Duration::from_secs(3);
 
 impl Fleet {
-    /// Drops the lives that have ended since `endpoint` lives, with all that is believed
-    /// of them.
+    /// Drops the incarnations that must have terminated because `endpoint` runs, with all of their
+    /// cached state.
     pub(super) fn end_earlier_incarnations(&mut self, endpoint: &Endpoint, now: Instant) {
         let ended = self.iter().filter(|other| endpoint.supersedes(other));
         let ended: Vec<_> = ended.map(|other| other.id.clone()).collect();
@@ -29,9 +29,10 @@
         }
     }
 
-    /// Tells whether a registration is of a life before the known one of the same name: a
-    /// write that was carried out late. It is taken all the same if the known life does not
-    /// register itself again within [`EARLIER_START_TIME`], since its clock may have been set back.
+    /// Returns whether a registration belongs to an earlier incarnation than the cached one of the
+    /// same name, which happens if a write is applied late. It is accepted nevertheless if the
+    /// cached incarnation does not register again within [`EARLIER_START_TIME`], since the
+    /// endpoint's clock may have been set back.
     pub(super) fn is_of_earlier_incarnation(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
         let same = |row: &&mut Row| {
             let known = &row.endpoint;
@@ -50,7 +51,7 @@
         true
     }
 
-    /// Takes the registrations of earlier starts that nothing has contradicted.
+    /// Accepts the deferred registrations that have not been contradicted in time.
     pub(crate) fn settle(&mut self, now: Instant) {
         let due = |row: &Row| {
             let (endpoint, _) = row
@@ -79,14 +80,14 @@
         }
     }
 
-    /// Takes that the store's listing names these registrations and no others: what was
-    /// doubted and is missing has ended.
+    /// Drops the unconfirmed registrations that are missing from the store's listing, since these
+    /// incarnations have terminated.
     pub(crate) fn drop_unlisted(&mut self, named: impl Fn(&str) -> bool) {
         self.terminated.retain(named);
     }
 
-    /// Takes that the store no longer names an endpoint, which is used until
-    /// `until` if the store may have lost it.
+    /// Handles the removal of a registration from the store. The endpoint stays in use until
+    /// `until` if the store may have lost the registration.
     pub(crate) fn remove(&mut self, instance: &str, until: Option<Instant>, now: Instant) {
         self.terminated.retain(|named| named != instance);
         let incarnations = self.iter().filter(|endpoint| endpoint.instance == instance);
--- a/crates/gateway/src/fleet/options.rs
+++ b/crates/gateway/src/fleet/options.rs
@@ -1,4 +1,4 @@
-//! How endpoints of a service are chosen.
+//! The router options of a service.
 
 use std::time::Duration;
 
@@ -8,18 +8,19 @@
 use super::row::UNRESPONSIVE_TIME;
 use crate::configuration::{Engine, Service};
 
-/// The endpoints that are drawn and compared for a request: with all compared,
-/// many entries send to the same idlest one at once.
+/// Number of endpoints drawn at random and compared for a request. If all were
+/// compared, many entries would send to the same least loaded endpoint at once.
 const COMPARED: usize = 3;
-/// What a crossing of data centres costs against an empty slot.
+/// Cost of crossing data centres, compared with waiting for a free slot.
 const HOP_TIME: Duration = Duration::from_millis(2);
-/// How fast a failing endpoint is set aside, and for how long at first.
+/// Number of consecutive failures after which an endpoint is ejected, and for
+/// how long: at first, and at most.
 const FAILURES: u32 = 3;
 const EJECTION: Duration = Duration::from_millis(700);
 const EJECTION_MAX: Duration = Duration::from_secs(6);
 
 impl Fleet {
-    /// Returns how endpoints of a service are chosen.
+    /// Returns the router options of a service.
     pub(super) fn options(&self, service: &Service) -> route::Options {
         let mut options = route::Options {
             choices: COMPARED,
@@ -39,8 +40,9 @@
     }
 }
 
-/// Fits the choice to the pass of a model server: a request that runs costs
-/// others part of a step, and one whose prompt waits costs the reading time.
+/// Sets the cost model from the forward pass of a model server: a running
+/// request costs the others part of a step, and one with a waiting prompt costs
+/// its processing time.
 fn apply_engine(options: &mut route::Options, engine: &Engine) {
     let pass = (engine.step + engine.per_request * engine.slots) * engine.stride;
     options.base_time = pass;
@@ -49,5 +51,5 @@
     options.silence = Some(UNRESPONSIVE_TIME);
 }
 
-/// How fast a load report fades; agents send one four times a second.
+/// Half-life of a load report's weight; agents send four per second.
 const REPORT_HALF_LIFE: Duration = Duration::from_millis(400);
--- a/crates/gateway/src/fleet/row.rs
+++ b/crates/gateway/src/fleet/row.rs
@@ -1,4 +1,4 @@
-//! What an entry believes of one endpoint.
+//! The cached state of one endpoint.
 
 use std::time::Duration;
 
@@ -8,44 +8,44 @@
 use crate::pace::Pace;
 use crate::peer::Load;
 
-/// How long an agent's word on passes counts; agents repeat it four times a
-/// second.
+/// How long a reported pass duration is valid; agents send four reports per second.
 pub(crate) const REPORT_TIME: Duration = Duration::from_millis(1_500);
-/// The time after which an endpoint whose agent is not heard any more gets no work while
-/// others take some: its host is frozen, cut off or gone, and without reports it would
-/// look idle. Three reports in a row are lost in one of 40,000 cases where one in 30 is.
+/// Time without a report after which an endpoint gets no requests while others can take
+/// them: its host is suspended, cut off or gone, and without reports it would appear idle.
+/// If one datagram in 30 is lost, three reports in a row are lost in one of 40,000 cases.
 pub(crate) const UNRESPONSIVE_TIME: Duration = Duration::from_millis(800);
-/// How long a rank's agent is looked for: agents answer a subscription at once, and a
-/// group that forms refuses all it gets for 0.6 s, which only its agents tell.
+/// How long the first report of a rank's agent is awaited. Agents answer a subscription at
+/// once, and only they report that a group is still forming, which refuses all requests for
+/// 0.6 s.
 const AGENT_WAIT_TIME: Duration = Duration::from_secs(2);
 
-/// An endpoint with what the entry believes of it.
+/// An endpoint with its cached state.
 #[derive(Debug, Clone)]
 pub(crate) struct Row {
     pub(crate) endpoint: Endpoint,
-    /// Whether this entry has chosen it of a large service, or uses all.
+    /// Whether this entry sends requests there: it uses all endpoints of the service, or has
+    /// chosen this one for its subset.
     pub(crate) used: bool,
-    /// How long a pass of its group takes, and when that was told.
+    /// The duration of its group's passes, with the time of the report.
     pass: Option<(Duration, Instant)>,
-    /// How slow it is, as told with the pass.
+    /// Its slowdown, as reported with the pass duration.
     pace: Pace,
-    /// Whether its group takes requests, as told with the pass.
+    /// Whether its group accepts requests, as reported with the pass duration.
     open: bool,
-    /// Until when its agent is looked for, if it has not been heard.
+    /// Until when the first report of its agent is awaited, `None` once one was received.
     agent_awaited_until: Option<Instant>,
-    /// A registration of an earlier start, which is taken at that time unless the known life
-    /// registers itself again.
+    /// A deferred registration of an earlier start, with the time at which it is accepted
+    /// unless the cached incarnation registers again.
     pub(crate) earlier_start: Option<(Endpoint, Instant)>,
-    /// Until when it is used though the store no longer names it.
+    /// Until when it stays in use although it is missing from the store.
     pub(crate) missing_until: Option<Instant>,
-    /// Whether this entry shares a limit that it names.
+    /// Whether this entry has an allotment of its rate limit.
     pub(crate) shares_limit: bool,
 }
 
 impl Row {
-    /// Creates the row of an endpoint that was not known; `ranked` says whether it is
-    /// a rank of a group, whose agent tells how it is, and `used` whether this entry sends
-    /// requests there.
+    /// Creates the row of a new endpoint. `ranked` states whether it is a rank of a group,
+    /// whose agent reports its state, and `used` whether this entry sends requests there.
     pub(crate) fn new(endpoint: Endpoint, ranked: bool, used: bool, now: Instant) -> Self {
         Self {
             endpoint,
@@ -60,21 +60,21 @@
         }
     }
 
-    /// Takes the endpoint's newest registration.
+    /// Applies the endpoint's latest registration.
     pub(crate) fn register(&mut self, endpoint: Endpoint) {
         self.endpoint = endpoint;
         self.earlier_start = None;
         self.missing_until = None;
     }
 
-    /// Tells whether a load is not of this life: of one before, whose word is late, or of
-    /// one whose registration is still on its way.
+    /// Returns whether a load report is of another incarnation: of an earlier one if the
+    /// report is late, or of a later one whose registration has not arrived yet.
     pub(crate) fn is_of_other_incarnation(&self, load: &Load) -> bool {
-        let told = load.born.zip(self.endpoint.born);
-        told.is_some_and(|(told, known)| told != known)
+        let reported = load.born.zip(self.endpoint.born);
+        reported.is_some_and(|(reported, known)| reported != known)
     }
 
-    /// Takes what its agent tells.
+    /// Applies the load report of its agent.
     pub(crate) fn apply_load(&mut self, load: &Load, now: Instant) {
         let endpoint = self.endpoint.id.as_str();
         if self.open != load.open {
@@ -90,37 +90,37 @@
         self.agent_awaited_until = None;
     }
 
-    /// Returns how long a pass of its group takes, if that was told lately.
+    /// Returns the duration of its group's passes, if it was reported recently.
     pub(crate) fn pass(&self, now: Instant) -> Option<Duration> {
         let (pass, at) = self.pass?;
         (now.saturating_duration_since(at) < REPORT_TIME).then_some(pass)
     }
 
-    /// Tells whether it should get nothing while others have room: it is slow, or its
-    /// passes are longer than the longest pause of streams that are on time.
+    /// Returns whether it should get no requests while others have room: it is slow, or its
+    /// passes are longer than the longest pause that its streams accept.
     pub(crate) fn is_late(&self, pause: Option<Duration>, now: Instant) -> bool {
         let pass = self.pass(now).zip(pause);
         self.pace.is_slow() || pass.is_some_and(|(pass, pause)| pass > pause)
     }
 
-    /// Tells whether it is so slow that its streams should go on elsewhere.
+    /// Returns whether it is so slow that its streams should move elsewhere.
     pub(crate) fn straggles(&self, now: Instant) -> bool {
         self.pace.is_straggler() && self.pass(now).is_some()
     }
 
-    /// Tells whether it is known not to serve: its group is broken, or its agent has been
-    /// heard before and is silent.
+    /// Returns whether it is known to be out of service: its group is broken, or its agent
+    /// has reported before and is now unresponsive.
     pub(crate) fn is_lost(&self, now: Instant) -> bool {
         let silent = |at| now.saturating_duration_since(at) > UNRESPONSIVE_TIME;
         !self.open || self.pass.is_some_and(|(_, at)| silent(at))
     }
 
-    /// Tells whether this entry sends requests there.
+    /// Returns whether this entry sends requests there.
     pub(crate) const fn is_used(&self) -> bool {
         self.used || self.shares_limit
     }
 
-    /// Tells whether its agent is looked for.
+    /// Returns whether the first report of its agent is awaited.
     pub(crate) fn is_awaiting_agent(&self, now: Instant) -> bool {
         self.is_used() && self.agent_awaited_until.is_some_and(|until| until > now)
     }
--- a/crates/gateway/src/fleet/sharing.rs
+++ b/crates/gateway/src/fleet/sharing.rs
@@ -10,8 +10,8 @@
 use crate::subset;
 
 impl Fleet {
-    /// Chooses the endpoints of large services that the entry `me` of `entries` uses, if
-    /// entries or endpoints have changed.
+    /// Chooses the subsets of large services' endpoints that the entry `me` of `entries`
+    /// uses, if entries or endpoints have changed.
     pub(crate) fn choose_subsets(&mut self, me: &str, entries: &[&str]) {
         for service in self.ranked.clone() {
             self.choose_subset(&service, me, entries);
@@ -45,14 +45,14 @@
         }
         let rows = self.rows.iter_mut().map(|(_, row)| row);
         for row in rows.filter(|row| row.endpoint.service == service) {
-            // Ids are in order, as the table is.
+            // The ids are sorted because the table is.
             let chosen = |used: &Vec<String>| used.binary_search(&row.endpoint.id).is_ok();
             row.used = used.as_ref().is_none_or(chosen);
         }
         self.refresh(service);
     }
 
-    /// Returns how many of `entries` use one endpoint of a service.
+    /// Returns how many of `entries` use each endpoint of a service.
     pub(crate) fn sharers(&self, service: &str, entries: u32) -> u32 {
         if !self.shared.contains(service) {
             return entries;
@@ -61,20 +61,20 @@
         subset::sharers(entries, self.iter().filter(own).count())
     }
 
-    /// Returns the endpoints that this entry uses.
+    /// Returns the endpoints to which this entry sends requests.
     pub(crate) fn used(&self) -> impl Iterator<Item = &Endpoint> {
         used(&self.rows)
     }
 }
 
-/// Returns the endpoints that this entry uses.
+/// Returns the endpoints to which this entry sends requests.
 pub(super) fn used(rows: &Table<String, Row>) -> impl Iterator<Item = &Endpoint> {
     rows.values()
         .filter(|row| row.is_used())
         .map(|row| &row.endpoint)
 }
 
-/// Returns a number that tells these entries and endpoints from others.
+/// Returns a hash that changes if the entries or endpoints change.
 fn fingerprint(entries: &[&str], endpoints: &[&str]) -> u64 {
     let mut hasher = DefaultHasher::new();
     (entries, endpoints).hash(&mut hasher);
--- a/crates/gateway/src/fleet/statements.rs
+++ b/crates/gateway/src/fleet/statements.rs
@@ -1,4 +1,4 @@
-//! What endpoints say of themselves, and what other entries say of it.
+//! Self-reports of endpoints, and reports of other entries about them.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 use cactusnotch_throttle::limits::{Change, Word};
 use cactusnotch_throttle::{Stated, Statement};
 
-/// What an answer has changed in what is believed of its endpoint.
+/// How an answer has changed the cached state of its endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(crate) struct Update {
-    /// Its limit.
+    /// The change of its rate limit.
     pub(crate) limit: Option<Change>,
-    /// The rest that it is granted from now on.
+    /// The back-off that starts now.
     pub(crate) back_off: Option<Duration>,
-    /// Whether its rest is over.
+    /// Whether its back-off has ended.
     pub(crate) is_back_off_over: bool,
-    /// Whether it leaves.
+    /// Whether it has announced that it is leaving.
     pub(crate) leaves: bool,
 }
 
 impl Fleet {
-    /// Takes what an endpoint says of itself in its answer to a request that was sent at
-    /// `sent`, and whether it `ran` that.
+    /// Applies the self-report in an endpoint's answer to a request that was sent at `sent`;
+    /// `ran` states whether the endpoint ran the request.
     pub(crate) fn apply_statement(
         &mut self,
         endpoint: &Endpoint,
@@ -50,7 +50,7 @@
         update
     }
 
-    /// Takes what another entry says of an endpoint's limit.
+    /// Applies another entry's report of an endpoint's rate limit.
     pub(crate) fn apply_limit_report(&mut self, report: &Word, now: Instant) -> Option<Change> {
         let limits = &mut self.limits;
         let change = limits.hear(&report.endpoint, report.limit, report.at, now)?;
@@ -58,12 +58,12 @@
         Some(change)
     }
 
-    /// Returns what other entries may need to know of limits.
+    /// Returns the rate limits to report to other entries.
     pub(crate) fn limit_reports(&self, now: Instant) -> impl Iterator<Item = Word> {
         self.limits.words(now)
     }
 
-    /// Takes the hosts of all entries, which share limits.
+    /// Sets the hosts of all entries, among which rate limits are divided.
     pub(crate) fn set_entries(&mut self, entries: &[&str], now: Instant) {
         let limits = self.limits.set_entries(entries, now);
         let cold = self.cold.set_entries(entries, now);
@@ -72,7 +72,8 @@
         }
     }
 
-    /// Forgets limits and rests of which nothing has been heard for long.
+    /// Removes rate limits and back-offs that have not been reported for long, and ends the
+    /// warm-up of endpoints whose time is over.
     pub(crate) fn expire_statements(&mut self, now: Instant) {
         let limits = self.limits.expire(now);
         let rests = self.rests.expire(now);
@@ -82,7 +83,7 @@
         }
     }
 
-    /// Takes that an endpoint says that it leaves; tells whether that was not known.
+    /// Records that an endpoint announced that it is leaving; returns whether that is new.
     fn record_leaving(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
         let is_new = self.leaving_notices.add(endpoint, now);
         let known = self.rows.get_mut(&endpoint.id);
@@ -94,7 +95,7 @@
         true
     }
 
-    /// Fits the choice of all endpoints to what they have said.
+    /// Updates the routers with the limits and back-offs of all endpoints.
     fn refresh_all_withheld(&mut self) {
         let known = self.iter().map(|endpoint| endpoint.instance.clone());
         let known: Vec<_> = known.collect();
@@ -103,9 +104,9 @@
         }
     }
 
-    /// Fits the choice of an endpoint to what it has said. One whose limit this entry shares is
-    /// used for as long, also if it belongs to a large service and wasn't chosen: few others
-    /// share it.
+    /// Updates the routers with the limits and back-off of an endpoint. An endpoint of a large
+    /// service of whose rate limit this entry has an allotment is used even outside the entry's
+    /// subset, since few other entries have one.
     pub(super) fn refresh_withheld(&mut self, instance: &str) {
         let is_shared = self.limits.shares(instance);
         let mut changed = None;
--- a/crates/gateway/src/fleet/terminated.rs
+++ b/crates/gateway/src/fleet/terminated.rs
@@ -1,5 +1,5 @@
-//! Lives of endpoints that have ended, which a store that came back from an older copy names
-//! once more.
+//! Incarnations of endpoints that have terminated but may be listed again by a store that was
+//! restored from an older copy.
 
 use std::time::Duration;
 
@@ -8,14 +8,15 @@
 
 use crate::endpoint::Endpoint;
 
-/// How long an ended life is remembered: copies that a store comes back from are some seconds
-/// old, and a store may be away for as long before.
+/// How long a terminated incarnation is remembered: the copies that a store is restored from are
+/// some seconds old, and the store may be unavailable for as long before.
 const MEMORY_TIME: Duration = Duration::from_mins(1);
-/// The most lives that are remembered: all of 1,300 servers may be replaced within that time.
+/// Limit of remembered incarnations: all of 1,300 servers may be replaced within that time.
 const ROWS_MAX: usize = 2_048;
-/// How long a life is not taken that has ended before the store came back: the store drops
-/// it after three heartbeats of 1.2 s without one, and one more is for a store that is slow. One
-/// that is named still writes to the store, so it lives.
+/// How long the registration of an incarnation that terminated before the store's restore is
+/// deferred. The store drops a registration after three missed heartbeats of 1.2 s, and one more
+/// allows for a slow store. An endpoint that is still listed then writes to the store, and
+/// therefore runs.
 const CONFIRM_TIME: Duration = Duration::from_millis(4_800);
 
 #[derive(Debug)]
@@ -25,17 +26,17 @@
     until: Instant,
 }
 
-/// The lives of endpoints that have ended.
+/// The incarnations of endpoints that have terminated.
 #[derive(Debug, Default)]
 pub(super) struct Terminated {
-    /// In the order of their ends.
+    /// In the order of termination.
     rows: Vec<Row>,
-    /// Those that the store names again, with when they are taken.
+    /// Those that the store lists again, with the time at which they are accepted.
     unconfirmed: Vec<(Endpoint, Instant)>,
 }
 
 impl Terminated {
-    /// Takes that a life has ended.
+    /// Records that an incarnation has terminated.
     pub(super) fn add(&mut self, endpoint: &Endpoint, now: Instant) {
         self.rows.retain(|row| row.until > now);
         if self.rows.len() >= ROWS_MAX {
@@ -48,8 +49,9 @@
         });
     }
 
-    /// Tells whether a registration may be one that was gone already, and comes from the copy
-    /// that the store came back from; it is taken later if it stays.
+    /// Returns whether a registration may come from the older copy that the store was restored
+    /// from, of an incarnation that had terminated before. Such a registration is deferred, and
+    /// accepted later if it stays listed.
     pub(super) fn is_unconfirmed(&mut self, endpoint: &Endpoint, now: Instant) -> bool {
         let is_of_copy = |row: &Row| {
             row.id == endpoint.id
@@ -73,12 +75,12 @@
         true
     }
 
-    /// Keeps what is doubted only if the store still names it.
+    /// Drops the unconfirmed registrations that the store no longer lists.
     pub(super) fn retain(&mut self, named: impl Fn(&str) -> bool) {
         self.unconfirmed.retain(|(known, _)| named(&known.instance));
     }
 
-    /// Returns those that have been named for so long that they live.
+    /// Returns the registrations that have been listed long enough to be accepted.
     pub(super) fn settle(&mut self, now: Instant) -> Vec<Endpoint> {
         let due = |(_, at): &(Endpoint, Instant)| *at <= now;
         let settled = self.unconfirmed.extract_if(.., |row| due(row));
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -1,46 +1,49 @@
-//! How long what an entry knows of keys may be relied on.
+//! How long an entry may rely on its cached API keys.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 
-/// Taken off the bound for clocks that run apart and for the time between a
+/// Deducted from the bound, for clock drift and for the time between a
 /// request's arrival and its check.
 const MARGIN: Duration = Duration::from_millis(200);
 
-/// A lease on the knowledge of keys. Only an answer of the store renews it,
-/// from the moment at which the question was sent: any change acknowledged
-/// before that is in the answer.
+/// A lease on the cached API keys. Only an answer of the store renews it, from
+/// the send time of the call: the answer includes any change that was
+/// acknowledged before.
 #[derive(Debug, Clone, Copy)]
 pub struct Freshness {
     bound: Option<Duration>,
-    asked: Option<Instant>,
+    sent_at: Option<Instant>,
 }
 
 impl Freshness {
-    /// Creates the lease of an entry that has proved nothing yet.
+    /// Creates the lease of an entry that has received no confirmation yet.
     #[must_use]
     pub const fn new(bound: Option<Duration>) -> Self {
-        Self { bound, asked: None }
+        Self {
+            bound,
+            sent_at: None,
+        }
     }
 
-    /// Takes another bound.
+    /// Replaces the bound.
     pub const fn set_bound(&mut self, bound: Option<Duration>) {
         self.bound = bound;
     }
 
-    /// Notes an answer to a question that was sent at `asked`.
-    pub fn renew(&mut self, asked: Instant) {
-        self.asked = self.asked.max(Some(asked));
+    /// Renews the lease with an answer to a call that was sent at `sent_at`.
+    pub fn renew(&mut self, sent_at: Instant) {
+        self.sent_at = self.sent_at.max(Some(sent_at));
     }
 
-    /// Returns how old the knowledge is.
+    /// Returns the time since the send time of the last confirmed call.
     #[must_use]
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        Some(now.saturating_duration_since(self.asked?))
+        Some(now.saturating_duration_since(self.sent_at?))
     }
 
-    /// Tells whether a request that is here at `now` may be judged.
+    /// Returns whether the keys may be used to check a request at `now`.
     #[must_use]
     pub fn holds(&self, now: Instant) -> bool {
         match (self.bound, self.age(now)) {
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -1,4 +1,4 @@
-//! Everything that an entry believes, shared between its tasks.
+//! The state of an entry that its tasks share.
 
 mod changes;
 mod confirmation;
@@ -42,7 +42,7 @@
 use crate::store::{Change, Codec, Item, Kind, Store, Unreadable};
 use crate::wake::Wake;
 
-/// Everything that an entry believes, shared between its tasks.
+/// The state of an entry that its tasks share.
 #[derive(Debug)]
 pub(crate) struct SharedState {
     pub(crate) options: RefCell<Rc<Options>>,
@@ -52,11 +52,11 @@
     pub(crate) peers: RefCell<Peers>,
     pub(crate) evacuations: RefCell<Evacuations>,
     pub(crate) polls: RefCell<Polls>,
-    /// The eras of the store, which all its clients share.
+    /// The eras of the store, shared by all clients of this process.
     pub(crate) eras: Rc<Eras>,
-    /// The position that the configuration was last read at.
+    /// The position at which the configuration was last read.
     pub(crate) position: Cell<Position>,
-    /// The newest configuration that the store has shown.
+    /// The latest configuration that the store has returned.
     pub(crate) shown: Cell<Shown>,
     pub(crate) lag: Lag,
     pub(crate) configuration_cache: ConfigurationCache,
@@ -67,24 +67,25 @@
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) in_flight: Cell<u32>,
     pub(crate) stopping: Cell<Option<Instant>>,
-    /// Whether a stop has come so far that no request is taken.
+    /// Whether a stop has progressed to the point where no request is accepted.
     pub(crate) closing: Cell<bool>,
-    /// Whether endpoints and entries have each been listed once.
+    /// Whether endpoints and entries, respectively, have been listed.
     listed: Cell<(bool, bool)>,
     outage: Cell<Outage>,
     pub(crate) link: RefCell<Link>,
-    /// Told when the store answers again.
+    /// Notified when the store answers again.
     answered: Notify,
-    /// Told when this entry is missing from a listing of entries.
+    /// Notified when this entry is missing from a listing of entries.
     pub(crate) unregistered: Notify,
-    /// The era that beliefs and tasks were last fitted to.
+    /// The era that the state was last adapted to.
     applied_era: Cell<Era>,
-    /// Until when no answer of the store can prove the configuration.
+    /// Until when no answer of the store can confirm the configuration.
     unconfirmed_until: Cell<Option<Instant>>,
-    /// Told when an answer proves nothing, since the era of the store may be young.
+    /// Notified when an answer does not confirm the configuration because the store's era
+    /// may be unsettled.
     pub(crate) unsettled: Notify,
     reported: RefCell<ReportedErrors>,
-    /// The requests under which endpoints have ended.
+    /// The requests during which endpoints have crashed.
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) notifications: Notifications,
     pub(crate) records: Records,
@@ -139,14 +140,14 @@
         Rc::clone(&self.options.borrow())
     }
 
-    /// Takes other settings.
+    /// Applies reloaded settings.
     pub(crate) fn set_options(&self, options: Options) {
         self.freshness.borrow_mut().set_bound(options.revocation);
         self.budgets
             .borrow_mut()
             .set(options.retry_ratio, options.retry_window);
         let mut known = self.options.borrow_mut();
-        // Whether evacuations are followed is decided at the start.
+        // Whether evacuations are followed is fixed at the start.
         let evacuation = known
             .evacuation
             .map(|before| options.evacuation.unwrap_or(before));
@@ -161,7 +162,7 @@
         Store::new(self.options.borrow().store, Rc::clone(&self.eras))
     }
 
-    /// Returns this entry as others know it.
+    /// Returns this entry's registration.
     pub(crate) fn entry(&self) -> Entry {
         let options = self.options.borrow();
         Entry {
@@ -176,7 +177,7 @@
         self.configuration.borrow().clone()
     }
 
-    /// Tells whether callers should be sent here.
+    /// Returns whether callers should be sent to this entry.
     pub(crate) fn ready(&self, now: Instant) -> bool {
         self.stopping.get().is_none()
             && self.listed.get().0
@@ -185,7 +186,7 @@
             && self.freshness.borrow().holds(now)
     }
 
-    /// Takes a listing of a kind, which is complete.
+    /// Applies a complete listing of one kind of objects.
     pub(crate) fn replace(
         &self,
         kind: Kind,
@@ -199,12 +200,12 @@
             Kind::Endpoints => {
                 let mut fleet = self.fleet.borrow_mut();
                 fleet.drop_unlisted(named);
-                let gone: Vec<_> = fleet
+                let missing: Vec<_> = fleet
                     .iter()
                     .map(|endpoint| endpoint.instance.clone())
                     .filter(|instance| !named(instance))
                     .collect();
-                for instance in gone {
+                for instance in missing {
                     tracing::info!(
                         endpoint = instance,
                         %position,
@@ -233,7 +234,7 @@
         }
     }
 
-    /// Takes one change.
+    /// Applies a change of one object.
     pub(crate) fn apply(&self, kind: Kind, change: Change, position: Position, now: Instant) {
         let Change { name, item } = change;
         match item {
@@ -260,8 +261,9 @@
         }
     }
 
-    /// Takes that an object can't be read, which another writer may have written. It names
-    /// no endpoint or entry that could be used; of configurations the last good one stays.
+    /// Handles an object that can't be read, since another writer may write invalid ones.
+    /// An unreadable endpoint or entry is not used; an unreadable configuration leaves the
+    /// last valid one in force.
     fn report_unreadable(
         &self,
         kind: Kind,
@@ -287,7 +289,7 @@
                 tracing::error!(
                     name,
                     %position,
-                    "configuration removed, the last one stays"
+                    "configuration removed from the store, keeping the last one"
                 );
             }
             Kind::Endpoints => {
@@ -337,17 +339,18 @@
         *self.configuration.borrow_mut() = Some(Rc::new(new));
     }
 
-    /// Tells whether this entry watches the store for others.
+    /// Returns whether this entry watches the store on behalf of its data centre.
     pub(crate) fn watches(&self, now: Instant) -> bool {
         self.peers.borrow().ready_before(now) < WATCHERS
     }
 
-    /// Tells whether this entry watches evacuations for its data centre.
+    /// Returns whether this entry watches evacuations on behalf of its data centre.
     pub(crate) fn watches_evacuations(&self, now: Instant) -> bool {
         self.peers.borrow().ready_before(now) == 0
     }
 
-    /// Drops the endpoints that have not come back after an outage of the store.
+    /// Drops the endpoints that did not register again after an outage of the store, and
+    /// settles deferred registrations.
     pub(crate) fn drop_missing(&self, now: Instant) {
         self.fleet.borrow_mut().settle(now);
         for endpoint in self.fleet.borrow_mut().expire(now) {
@@ -364,7 +367,7 @@
             .choose_subsets(&host, &peers.hosts());
     }
 
-    /// Drops what is past its time.
+    /// Removes expired state; called periodically.
     pub(crate) fn tick(&self, now: Instant) {
         self.drop_missing(now);
         self.forget_suspects(now);
@@ -383,7 +386,7 @@
         self.pool.sweep(now, |id| fleet.takes_work(id));
     }
 
-    /// Returns this entry's part of an endpoint's connections.
+    /// Returns this entry's share of an endpoint's connections.
     pub(crate) fn connections(&self, service: &str) -> u32 {
         let all = self
             .configuration
@@ -394,6 +397,6 @@
     }
 }
 
-/// The entries of a data centre that watch endpoints and configuration; the
-/// others are told by them. One may die without changes being missed meanwhile.
+/// Number of entries per data centre that watch endpoints and configuration and forward
+/// changes to the others. With two, one may crash without changes being missed.
 const WATCHERS: u32 = 2;
--- a/crates/gateway/src/knowledge/changes.rs
+++ b/crates/gateway/src/knowledge/changes.rs
@@ -1,4 +1,4 @@
-//! Changes of endpoints that entries pass on to each other.
+//! Changes of endpoints that entries forward to each other.
 
 use std::time::Duration;
 
@@ -11,8 +11,8 @@
 use crate::store::{Change, Item, Kind};
 
 impl SharedState {
-    /// Takes changes of endpoints that another entry passes on, if none is
-    /// missing before them.
+    /// Applies changes of endpoints that another entry forwarded, unless
+    /// earlier changes are missing here.
     pub(crate) fn apply_changes(&self, changes: Changes, now: Instant) {
         let Changes {
             from,
@@ -36,7 +36,8 @@
         self.lag.advance(to);
     }
 
-    /// Returns changes of endpoints for other entries.
+    /// Returns changes of endpoints in the form that is forwarded to other
+    /// entries.
     pub(crate) fn changes_for_peers(
         &self,
         from: Position,
--- a/crates/gateway/src/knowledge/confirmation.rs
+++ b/crates/gateway/src/knowledge/confirmation.rs
@@ -1,4 +1,4 @@
-//! How fresh the configuration is that an entry knows.
+//! Confirmation that the cached configuration is the latest one.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,8 +9,8 @@
 use crate::peer::State;
 
 impl SharedState {
-    /// Takes what another entry states of the store, and its proof if it is of
-    /// the same version.
+    /// Applies another entry's state of the store, and its confirmation if both
+    /// have the same version of the configuration.
     pub(crate) fn apply_confirmation(&self, state: &State, from: SocketAddr, now: Instant) {
         self.note_position(state.known, now);
         let known = self.configuration.borrow().as_ref().map(|c| c.version);
@@ -28,14 +28,15 @@
         }
     }
 
-    /// Tells whether the configuration is of `version` or a later one.
+    /// Returns whether the cached configuration has `version` or a later one.
     pub(crate) fn has_version(&self, version: u64) -> bool {
         let known = self.configuration.borrow();
         known.as_ref().is_some_and(|known| known.version >= version)
     }
 
-    /// Returns the age from which this entry gets itself a proof: the first of
-    /// its data centre early, so that the others have it from there in time.
+    /// Returns the age from which this entry renews its confirmation by a call
+    /// to the store. The first entry of a data centre renews early enough for
+    /// the others to get the confirmation from it in time.
     pub(crate) fn confirm_after(&self, now: Instant) -> Duration {
         let before = self.peers.borrow().ready_before(now);
         let options = self.options.borrow();
@@ -53,15 +54,16 @@
     }
 }
 
-/// The parts of a bound from which an entry proves what it knows anew: the first
-/// ready one of a data centre, and the others, each later by a step. They ask
-/// each other every 0.5 s, so that they mostly have the first one's proof before
-/// theirs is as old. The bound is that on revoked keys, or less if an endpoint
-/// that leaves has to be known sooner: a proof also tells whether a watch hangs.
+/// The fractions of the bound after which an entry renews its confirmation: the
+/// first ready entry of a data centre, and the others, each later by one step.
+/// Entries poll each other every 0.5 s and therefore usually receive the first
+/// one's confirmation before their own is as old. The bound is the one on
+/// revoked keys, or less if leaving endpoints have to be observed sooner: a
+/// confirmation also shows whether a watch hangs.
 const CONFIRM_FIRST: f64 = 0.18;
 const CONFIRM_OTHERS: f64 = 0.29;
 const CONFIRM_STEP: f64 = 0.015;
 const CONFIRM_STEPS: u32 = 3;
-/// The part of the bound within which all entries have a proof, the steps, a
-/// look and a call included.
+/// The fraction of the bound within which all entries have a confirmation,
+/// including the steps, one check interval and one call.
 const CONFIRM_LEAVING: f64 = 0.4;
--- a/crates/gateway/src/knowledge/era.rs
+++ b/crates/gateway/src/knowledge/era.rs
@@ -1,4 +1,4 @@
-//! What an entry does when the store came back from an older copy.
+//! Handles a store that was restored from an older copy.
 
 use std::time::Duration;
 
@@ -12,22 +12,24 @@
 use crate::journal::millis;
 use crate::record::Write;
 
-/// How long an entry waits until it asks for a proof again which the store could not give,
-/// since operators have not written again what it has lost.
+/// Pause before the next attempt if the store could not confirm the configuration, because
+/// operators have not yet written again what the restore lost.
 const CONFIRM_PAUSE: Duration = Duration::from_millis(500);
-/// The time over which entries ask that rely on others: these tell them within half a second.
+/// Time over which the entries that don't watch the store spread their attempts. The watching
+/// entries report their result to them within half a second.
 const CONFIRM_SPREAD: Duration = Duration::from_millis(700);
 
 impl SharedState {
-    /// Takes that another entry knows the store up to `position`. Of a newer era that is a
-    /// reason to ask the store.
+    /// Records that another entry has observed the store up to `position`. If that is of a
+    /// later era, this entry has to call the store.
     pub(crate) fn note_position(&self, position: Position, now: Instant) {
         self.eras.hear(position.era(), now);
         self.lag.observe(position);
     }
 
-    /// Takes an answer of the store of a new era: what is missing from the copy may be written
-    /// again, as after an outage, and what this entry had written may be gone.
+    /// Adapts the state to the store's first answer of a new era. What is missing from the
+    /// restored copy may be written again, as after an outage, and what this entry had written
+    /// may be lost.
     pub(super) fn adapt_to_era(&self, now: Instant) {
         let era = self.eras.current();
         if era == self.applied_era.get() {
@@ -49,16 +51,17 @@
         self.quarantine.borrow_mut().forget_records();
     }
 
-    /// Takes that the store has shown a version of the configuration at `position`.
+    /// Records that the store has returned a version of the configuration at `position`.
     pub(super) fn note_shown(&self, position: Position, version: u64) {
         let mut shown = self.shown.get();
         shown.record(position.era(), version);
         self.shown.set(shown);
     }
 
-    /// Takes an answer of the store, up to `position`, to what was asked at `asked`: it proves
-    /// that the configuration is the newest one, unless the store may have lost that.
-    pub(crate) fn confirm_configuration(&self, position: Position, asked: Instant) {
+    /// Handles an answer of the store, up to `position`, to a call that was sent at `sent_at`.
+    /// It confirms that the configuration is the latest one, unless the store may have lost a
+    /// later one.
+    pub(crate) fn confirm_configuration(&self, position: Position, sent_at: Instant) {
         self.position.set(self.position.get().newest(position));
         self.lag.observe(position);
         let known = self
@@ -67,36 +70,37 @@
             .as_ref()
             .map_or(0, |c| c.version);
         let era = position.era();
-        let young_since = self.eras.young_since();
+        let unsettled_since = self.eras.young_since();
         let shown = self.shown.get();
-        if shown.confirms(known, era, asked, young_since) {
-            self.freshness.borrow_mut().renew(asked);
-            self.settle_era(era, asked);
+        if shown.confirms(known, era, sent_at, unsettled_since) {
+            self.freshness.borrow_mut().renew(sent_at);
+            self.settle_era(era, sent_at);
             return;
         }
         self.unsettled.notify_one();
         tracing::info!(%position, known, ?shown, "answer proves nothing yet");
-        let settled = young_since.map(|since| since + REWRITE_TIME);
+        let settled = unsettled_since.map(|since| since + REWRITE_TIME);
         let jitter: f64 = self.rng.borrow_mut().random();
-        let spread = if self.watches(asked) {
+        let spread = if self.watches(sent_at) {
             Duration::ZERO
         } else {
             CONFIRM_SPREAD.mul_f64(jitter)
         };
-        let soonest = settled.unwrap_or(asked).max(asked + CONFIRM_PAUSE);
+        let soonest = settled.unwrap_or(sent_at).max(sent_at + CONFIRM_PAUSE);
         self.unconfirmed_until.set(Some(soonest + spread));
     }
 
-    /// Takes that the configuration has been proved in `era`: one that was young has settled,
-    /// which the first entry of a data centre writes down for those that start.
+    /// Records that the configuration has been confirmed in `era`. If the era was unsettled it
+    /// is settled now, and the first entry of a data centre writes a record of that for
+    /// entries that start later.
     fn settle_era(&self, era: Era, now: Instant) {
         if self.eras.settle(era) && self.peers.borrow().ready_before(now) == 0 {
             self.records.push(Write::Settle(era));
         }
     }
 
-    /// Takes the store's record that an entry has proved the configuration in `era`. One of an
-    /// era that has ended comes from a copy, and says nothing.
+    /// Applies the store's record that an entry has confirmed the configuration in `era`. A
+    /// record of an earlier era comes from the older copy and is ignored.
     pub(super) fn apply_settled_era(&self, era: Era, now: Instant) {
         if !self.eras.settle(era) {
             return;
@@ -107,9 +111,9 @@
         }
     }
 
-    /// Tells whether the store is to be asked for a proof: the last one is old, or there is
-    /// none since the configuration was listed in a young era. It isn't asked before it can
-    /// give one.
+    /// Returns whether the store is to be called for a confirmation: the last one is too old,
+    /// or there is none because the configuration was listed in an unsettled era. The store is
+    /// not called before it can give one.
     pub(crate) fn needs_confirmation(&self, now: Instant) -> bool {
         let unconfirmed_until = self.unconfirmed_until.get();
         let age = self.freshness.borrow().age(now);
--- a/crates/gateway/src/knowledge/evacuations.rs
+++ b/crates/gateway/src/knowledge/evacuations.rs
@@ -1,4 +1,4 @@
-//! What an entry does about data centres that operators have emptied.
+//! Handles data centres that operators have evacuated.
 
 use std::time::Duration;
 
@@ -13,27 +13,26 @@
 use crate::peer::{Evacuated, State};
 use crate::store::Change;
 
-/// The part of the bound after which the entry that watches for its data centre asks the store
-/// whether what is known is still so, since its watch may hang.
+/// The fraction of the bound after which the entry that watches for its data centre calls the
+/// store for a confirmation, since its watch may hang.
 const CHECK_PART: f64 = 0.32;
-/// The part of the bound from which an entry that has no confirmation from others asks the
-/// store itself. Others ask each other twice a second; what is left of the bound covers the
-/// next look and a call that gets no answer.
+/// The fraction of the bound after which an entry without a confirmation from others calls the
+/// store itself. Entries poll each other twice a second; the rest of the bound covers the next
+/// check and a call that times out.
 const CONFIRM_PART: f64 = 0.64;
 
 impl SharedState {
-    /// Tells whether evacuations are to be known and aren't.
+    /// Returns whether evacuations are followed but have not been read yet.
     pub(crate) fn lacks_evacuations(&self) -> bool {
         self.options.borrow().evacuation.is_some() && !self.evacuations.borrow().are_known()
     }
 
-    /// Returns how long the entry that watches evacuations leaves between two proofs.
+    /// Returns the time between two confirmations at the entry that watches evacuations.
     pub(crate) fn evacuation_check_interval(&self) -> Duration {
         self.evacuation_part(CHECK_PART)
     }
 
-    /// Tells whether it is this entry's to ask the store whether what it knows of evacuations
-    /// is still so.
+    /// Returns whether this entry has to call the store for a confirmation of the evacuations.
     pub(crate) fn evacuations_need_confirmation(&self, now: Instant) -> bool {
         let age = self.evacuations.borrow().age(now);
         age.is_none_or(|age| age >= self.evacuation_part(CONFIRM_PART))
@@ -44,7 +43,7 @@
         bound.mul_f64(part)
     }
 
-    /// Takes a listing of evacuations.
+    /// Applies a listing of evacuations.
     pub(super) fn replace_evacuations(&self, changes: &[Change], position: Position, now: Instant) {
         let all = changes.iter().map(|change| change.name.clone());
         let names: Vec<_> = all.filter(|name| !name.is_empty()).collect();
@@ -55,7 +54,7 @@
         });
     }
 
-    /// Takes that a data centre is evacuated, or that this was taken back.
+    /// Applies the start or the end of a data centre's evacuation.
     pub(super) fn set_evacuated(&self, name: &str, is_evacuated: bool, now: Instant) {
         self.change_evacuations("the store", now, |evacuations| {
             if is_evacuated {
@@ -66,7 +65,7 @@
         });
     }
 
-    /// Takes what another entry states of evacuations.
+    /// Applies another entry's report of evacuations.
     pub(crate) fn apply_peer_evacuations(&self, state: &State, now: Instant) {
         let Some(Evacuated {
             position,
@@ -90,7 +89,7 @@
         });
     }
 
-    /// Returns what other entries are told of evacuations.
+    /// Returns the report of evacuations for other entries.
     pub(crate) fn evacuated(&self, now: Instant) -> Option<Evacuated> {
         let evacuations = self.evacuations.borrow();
         let Report {
@@ -105,14 +104,14 @@
         })
     }
 
-    /// Ends evacuations that the store has lost and that nobody has written again.
+    /// Removes evacuations that the store has lost and that were not written again in time.
     pub(super) fn expire_evacuations(&self, now: Instant) {
         self.change_evacuations("an older copy of the store", now, |evacuations| {
             evacuations.expire(now);
         });
     }
 
-    /// Changes what is believed of evacuations, and fits the choice of endpoints to it.
+    /// Changes the cached evacuations, and updates the routers and the metric if they differ.
     fn change_evacuations(
         &self,
         source: &str,
--- a/crates/gateway/src/knowledge/outage.rs
+++ b/crates/gateway/src/knowledge/outage.rs
@@ -1,4 +1,4 @@
-//! What an entry does and believes while the store doesn't answer it.
+//! Handles outages of the store.
 
 use std::time::Duration;
 
@@ -12,13 +12,13 @@
 use crate::store::{Error, Kind};
 
 impl SharedState {
-    /// Returns how long ago the store came back after an outage, in milliseconds.
+    /// Returns the time since the end of the store's last outage, in milliseconds.
     pub(crate) fn returned_ago(&self, now: Instant) -> Option<u32> {
         let ago = self.outage.get().ended_ago(now)?;
         u32::try_from(ago.as_millis()).ok()
     }
 
-    /// Waits until this task may ask the store: at once, unless it is lost.
+    /// Waits until this task may call the store: immediately, unless the store is lost.
     pub(crate) async fn wait_for_store_slot(&self) {
         loop {
             let answered = self.answered.notified();
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Notes a call to the store that has failed.
+    /// Records a failed call to the store.
     pub(crate) fn note_store_failure(&self, kind: Kind, error: &Error, now: Instant) {
         let before = self.peers.borrow().alive_before(now);
         let role = if before.is_some_and(|before| before < WATCHERS) {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Notes that the store has answered.
+    /// Records an answer of the store.
     pub(crate) fn note_store_answer(&self, kind: Kind, now: Instant) {
         self.adapt_to_era(now);
         let Some(lost) = self.link.borrow_mut().answer(now) else {
@@ -57,7 +57,7 @@
         self.note_store_return(now);
     }
 
-    /// Takes what another entry says of the store's return.
+    /// Applies another entry's report that the store is available again.
     pub(crate) fn note_return(&self, state: &State, now: Instant) {
         let ago = state
             .returned_ago
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Notes that the store answers again after an outage.
+    /// Records that the store is available again after an outage.
     pub(crate) fn note_store_return(&self, now: Instant) {
         let mut outage = self.outage.get();
         outage.end(now);
--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -1,4 +1,4 @@
-//! What an entry does about what endpoints say of themselves.
+//! Handles the self-reports of endpoints.
 
 use std::time::Duration;
 
@@ -17,13 +17,13 @@
 use cactusnotch_throttle::limits::{Change, Word};
 use cactusnotch_throttle::{Stated, Statement};
 
-/// The most words that are told at once: with some 50 bytes each, a datagram each half second
-/// that takes a quarter of what an entry may spend on control.
+/// Limit of rate-limit reports in a datagram. With about 50 bytes each, one datagram per half
+/// second takes a quarter of an entry's budget for control traffic.
 const REPORTS_MAX: usize = 16;
 
 impl SharedState {
-    /// Takes what an endpoint says of itself in its answer to a request that was sent at
-    /// `sent`, and has other entries told what is new of its limit.
+    /// Applies the self-report in an endpoint's answer to a request that was sent at `sent`,
+    /// and notifies other entries of a changed rate limit.
     pub(crate) fn apply_statement(
         &self,
         endpoint: &Endpoint,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Takes what another entry says of endpoints' limits.
+    /// Applies other entries' reports of endpoints' rate limits.
     pub(crate) fn apply_limit_reports(&self, reports: &[Word], now: Instant) {
         for report in reports {
             let change = self.fleet.borrow_mut().apply_limit_report(report, now);
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Has another entry told of some limits, so that those hear of them that were not there,
-    /// asleep or cut off when they changed.
+    /// Sends some rate limits to a random entry, for entries that were not running, suspended
+    /// or cut off when the limits changed.
     pub(crate) fn gossip_limits(&self, now: Instant) {
         let fleet = self.fleet.borrow();
         let mut rng = self.rng.borrow_mut();
@@ -77,9 +77,9 @@
         }
     }
 
-    /// Takes that a request is refused since all endpoints of `service` that could take it get
-    /// none for now; `first` is when one of them may. Returns how long its caller should stay
-    /// away.
+    /// Records that a request is refused because all endpoints of `service` that could run it
+    /// currently get no requests; `first` is the time at which the first of them may get one.
+    /// Returns how long the caller should back off.
     pub(crate) fn record_throttled(
         &self,
         id: Option<&str>,
@@ -97,7 +97,7 @@
         } = fleet.exclusions(service, now);
         let own = first.filter(|_| resting + shared > 0);
         let own = own.map(|first| first.saturating_duration_since(now));
-        // Another entry that the caller comes to may have what this one lacks.
+        // The caller may reach another entry that has an allotment of these limits.
         let other = Rate::new(rate).filter(|_| limited + cold > shared);
         let other = other.map(allotment::spacing);
         let wait = own.into_iter().chain(other).min().unwrap_or_default();
@@ -116,7 +116,8 @@
         wait
     }
 
-    /// Forgets what is past its time, and divides limits among the entries if all are known.
+    /// Removes expired limits, and divides limits among the entries if all of them have been
+    /// listed.
     pub(super) fn maintain_statements(&self, known: bool, now: Instant) {
         let mut fleet = self.fleet.borrow_mut();
         fleet.expire_statements(now);
@@ -144,7 +145,7 @@
         );
     }
 
-    /// Writes once for each endpoint what it says that can't be read.
+    /// Logs an unreadable value in a self-report, once per endpoint and value.
     fn warn_unreadable(&self, endpoint: &Endpoint, statement: &Statement) {
         let limit = (statement.limit == Stated::Unreadable).then_some("limit");
         let rest = (statement.rest == Stated::Unreadable).then_some("rest");
@@ -169,7 +170,7 @@
     }
 }
 
-/// Writes what an answer has changed of an endpoint's rest and leaving.
+/// Logs the changes of an endpoint's back-off and leaving state.
 fn log_update(endpoint: &Endpoint, update: &Update, statement: &Statement) {
     let endpoint = endpoint.id.as_str();
     if let Some(rest) = update.back_off {
--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -1,4 +1,4 @@
-//! What an entry knows of requests that end endpoints.
+//! Handles requests that crash endpoints.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,8 +17,8 @@
 use crate::store::QuarantineRecord;
 
 impl SharedState {
-    /// Returns how long a request is held still, if it is. No request's content is worked
-    /// out while none is remembered.
+    /// Returns for how much longer a request is quarantined, `None` if it is not. A
+    /// request's content is not computed while the quarantine is empty.
     pub(crate) fn quarantined_for(&self, call: &Call, now: Instant) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() {
@@ -27,7 +27,7 @@
         quarantine.holds(call.content(), now)
     }
 
-    /// Takes that a request was served whole, which none is that ends its endpoints.
+    /// Records that a request was served completely, which clears it of suspicion.
     pub(crate) fn note_served(&self, call: &Call) {
         if self.quarantine.borrow().is_empty() {
             return;
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Takes that this entry has seen an endpoint end under a request, and has the others
-    /// told.
+    /// Records that this entry observed an endpoint's crash during a request, and notifies
+    /// the others.
     pub(crate) fn note_crash(&self, content: Content, crash: &Crash, now: Instant) {
         let verdict = self.record_crash(content, crash, now);
         if verdict == Verdict::Known {
@@ -59,35 +59,38 @@
         }
     }
 
-    /// Takes that the entry at `from` tells of a crash. What is new is told to a few others;
-    /// an entry that has just started gets what it can't know, that the request is held.
-    pub(crate) fn apply_crash_report(&self, told: &peer::Crash, from: SocketAddr, now: Instant) {
+    /// Applies a crash report of the entry at `from`. A new crash is forwarded to a few
+    /// other entries. If the request is quarantined, the sender is notified of that, since
+    /// an entry that started recently can't have observed it.
+    pub(crate) fn apply_crash_report(&self, report: &peer::Crash, from: SocketAddr, now: Instant) {
         let ago = |millis: u32| now.checked_sub(Duration::from_millis(millis.into()));
-        let Some((sent, at)) = ago(told.sent_ago).zip(ago(told.ago)) else {
+        let Some((sent, at)) = ago(report.sent_ago).zip(ago(report.ago)) else {
             return;
         };
         let crash = Crash {
-            endpoint: told.endpoint.clone(),
+            endpoint: report.endpoint.clone(),
             sent,
             at,
         };
-        let verdict = self.record_crash(told.content, &crash, now);
+        let verdict = self.record_crash(report.content, &crash, now);
         if matches!(verdict, Verdict::Suspected | Verdict::Held) {
             self.notifications
-                .send_to_few(Notification::Crash(told.content, crash));
+                .send_to_few(Notification::Crash(report.content, crash));
         }
-        // The one that saw it may have ended, or not know of the crash before it.
+        // The entry that observed the crash may have terminated, or may lack the earlier
+        // crash.
         if verdict == Verdict::Held && self.peers.borrow().ready_before(now) == 0 {
-            self.write_record(told.content);
+            self.write_record(report.content);
         }
-        let left = self.quarantine.borrow().holds(told.content, now);
+        let left = self.quarantine.borrow().holds(report.content, now);
         if let (Verdict::Held | Verdict::HeldBefore, Some(left)) = (verdict, left) {
-            let held = Notification::Held(told.content, now + left);
+            let held = Notification::Held(report.content, now + left);
             self.notifications.send_to(held, from);
         }
     }
 
-    /// Takes that another entry holds a request, which ended an endpoint here.
+    /// Applies another entry's report that a request is quarantined, which crashed an
+    /// endpoint here.
     pub(crate) fn apply_quarantine_report(&self, held: &peer::Quarantined, now: Instant) {
         let left = Duration::from_millis(held.left.into());
         if self.apply_quarantine(held.content, left, "another entry holds it", now) {
@@ -95,31 +98,32 @@
         }
     }
 
-    /// Takes that a request was served whole at another entry.
+    /// Applies another entry's report that a request was served completely.
     pub(crate) fn apply_served_report(&self, content: Content) {
         self.clear(content);
     }
 
-    /// Takes the store's record of a request that is held.
-    pub(super) fn apply_quarantine_record(&self, hold: &QuarantineRecord, now: Instant) {
-        let left = hold.until.duration_since(clock::wall());
+    /// Applies the store's record of a quarantined request.
+    pub(super) fn apply_quarantine_record(&self, record: &QuarantineRecord, now: Instant) {
+        let left = record.until.duration_since(clock::wall());
         let Ok(left) = left else {
             if self.peers.borrow().ready_before(now) == 0 {
-                self.records.push(Write::Erase(hold.content));
+                self.records.push(Write::Erase(record.content));
             }
             return;
         };
-        // A listing that was old, or a copy from before the record was removed.
-        if self.quarantine.borrow().is_cleared(hold.content, now) {
-            self.records.push(Write::Erase(hold.content));
+        // The listing may be stale, or a copy from before the record was removed.
+        if self.quarantine.borrow().is_cleared(record.content, now) {
+            self.records.push(Write::Erase(record.content));
             return;
         }
-        self.apply_quarantine(hold.content, left, "the store has it on record", now);
-        self.quarantine.borrow_mut().check(hold.content, true);
+        self.apply_quarantine(record.content, left, "the store has it on record", now);
+        self.quarantine.borrow_mut().check(record.content, true);
     }
 
-    /// Has what is held and missing from the store's records written there, by the first
-    /// entry of a data centre: the one that was to do so may have ended.
+    /// Writes the records of quarantined requests that are missing from the store. The first
+    /// entry of a data centre does so, because the entry that should have written them may
+    /// have terminated.
     pub(super) fn complete_records(&self, now: Instant) {
         let held: Vec<_> = self.quarantine.borrow().all(now).collect();
         if held.is_empty() || self.peers.borrow().ready_before(now) > 0 {
@@ -174,7 +178,7 @@
         metrics::gauge!(metric::GATEWAY_HELD).set(u32::try_from(held).unwrap_or(u32::MAX));
     }
 
-    /// Forgets what is past its time.
+    /// Removes expired suspects and quarantines.
     pub(super) fn forget_suspects(&self, now: Instant) {
         self.quarantine.borrow_mut().expire(now);
         self.gauge_held();
--- a/crates/gateway/src/lag.rs
+++ b/crates/gateway/src/lag.rs
@@ -1,4 +1,4 @@
-//! Signs that the store holds what this entry does not know yet.
+//! Detects that the store is ahead of this entry's cached state.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -7,36 +7,38 @@
 use cactusnotch_position::{Position, Progress};
 use tokio::sync::Notify;
 
-/// How long an entry that is behind the store waits before it asks: its watch,
-/// or the datagram of an entry that watches, brings the changes as a rule.
+/// How long an entry that is behind the store waits before it calls the store.
+/// In most cases its watch, or a datagram of a watching entry, delivers the
+/// changes first.
 const CATCH_UP_DELAY: Duration = Duration::from_millis(200);
 
-/// Signs that the store holds what this entry does not know yet.
+/// How far this entry's cached state is behind the store.
 #[derive(Debug, Default)]
 pub(crate) struct Lag {
     progress: Cell<Progress>,
-    /// Told when the store is known to be ahead of what is known of endpoints.
+    /// Notified when the store is ahead of the cached endpoints.
     behind: Notify,
-    /// The configuration that another entry has told of last, and who that is.
+    /// The latest configuration version that another entry reported, with that
+    /// entry's address.
     newest: Cell<Option<(u64, SocketAddr)>>,
-    /// Told when another entry has a newer configuration.
+    /// Notified when another entry has a newer configuration.
     outdated: Notify,
 }
 
 impl Lag {
-    /// Returns how far endpoints are known, and how far the store is.
+    /// Returns the position of the cached endpoints, and that of the store.
     pub(crate) const fn progress(&self) -> Progress {
         self.progress.get()
     }
 
-    /// Notes that endpoints are known up to `position`.
+    /// Records that the cached endpoints are complete up to `position`.
     pub(crate) fn advance(&self, position: Position) {
         let mut progress = self.progress.get();
         progress.know(position);
         self.progress.set(progress);
     }
 
-    /// Notes that the store has reached `position`.
+    /// Records that the store has reached `position`.
     pub(crate) fn observe(&self, position: Position) {
         let mut progress = self.progress.get();
         progress.reach(position);
@@ -46,8 +48,8 @@
         }
     }
 
-    /// Waits until the store has been ahead of what is known of endpoints for
-    /// so long that nobody will bring the changes.
+    /// Waits until the store has been ahead of the cached endpoints for longer
+    /// than [`CATCH_UP_DELAY`].
     pub(crate) async fn wait_behind(&self) {
         loop {
             self.behind.notified().await;
@@ -60,13 +62,14 @@
         }
     }
 
-    /// Notes that the entry at `from` has a newer configuration.
+    /// Records that the entry at `from` has a newer configuration.
     pub(crate) fn note_newer(&self, version: u64, from: SocketAddr) {
         self.newest.set(Some((version, from)));
         self.outdated.notify_one();
     }
 
-    /// Returns the newest configuration that was told of, and who has it.
+    /// Returns the latest configuration version that another entry reported,
+    /// with that entry's address.
     pub(crate) const fn newest(&self) -> Option<(u64, SocketAddr)> {
         self.newest.get()
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,12 +1,13 @@
-//! The entry that forwards callers' requests straight to endpoints over HTTP.
+//! An entry that forwards callers' requests directly to endpoints over HTTP.
 //!
-//! It stands beside the entry that works through agents, for deployments where
-//! each attempt has an id of its own and endpoints name what they did not run,
-//! so that nothing has to be claimed or remembered. What a deployment calls
-//! things on the wire is behind [`Dialect`] and [`store::Codec`]; this crate
-//! holds the decisions, the state and the recovery.
+//! It is an alternative to the entry that works through agents, for deployments
+//! in which each attempt has its own id and endpoints report which attempts
+//! they did not run. Neither claims nor a ledger are needed there. The names
+//! that a deployment uses on the wire are defined by implementations of
+//! [`Dialect`] and [`store::Codec`]; this crate implements decisions, state and
+//! recovery.
 //!
-//! A process runs one thread. State is shared between its tasks by `Rc`.
+//! A process runs a single thread, and its tasks share state through `Rc`.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,10 +1,11 @@
-//! The health of the way to the store, and who asks it while it doesn't answer.
+//! The health of the path to the store, and which entries call it during an outage.
 //!
-//! A store that is down, or turns hosts away, would be asked by every task of every entry
-//! again and again: 149 entries with three tasks each made 11,900 calls in a day with an
-//! outage of eight seconds, and 7,000 as it is here. While the store is lost one task of an
-//! entry asks at a time, and entries that hear others rely on a few of their data centre:
-//! these ask often and tell all once they get an answer.
+//! Without a limit, every task of every entry would retry calls to a store that is down or
+//! refuses the host: in a day with an outage of eight seconds, 149 entries with three tasks
+//! each made 11,900 calls, and 7,000 with the limits below. While the store is lost, only
+//! one task of an entry calls at a time, and entries that receive datagrams from others
+//! rely on a few entries of their data centre. These call often, and notify the others once
+//! they get an answer.
 
 use std::time::Duration;
 
@@ -13,43 +14,46 @@
 use crate::outage::DETECTION_DELAY_MAX;
 use crate::store::CALL_TIMEOUT;
 
-/// The pause after the first failed call, doubled with each further one. Each
-/// call is counted and paid for, refused ones too.
+/// Pause after the first failed call, doubled with each further one. Every call is billed,
+/// including refused ones.
 const PAUSE: Duration = Duration::from_millis(60);
-/// The longest pause of an entry that asks for others, so that they are back soon after
-/// the store is.
+/// Longest pause of an entry that calls on behalf of others, short enough for them to
+/// resume soon after the store does.
 const PAUSE_MAX: Duration = Duration::from_millis(400);
-/// The same pauses of an entry that relies on others, or hears none. A host that is cut
-/// off has to know the newest configuration three seconds after its way is sound again.
+/// The same pauses for an entry that relies on others or receives datagrams from none. A
+/// host that was cut off must have the latest configuration three seconds after its path to
+/// the store works again.
 const RELYING_PAUSE: Duration = Duration::from_millis(500);
 const RELYING_PAUSE_MAX: Duration = Duration::from_secs(2);
 
-/// The time for which missing endpoints are used rests on how late an entry may
-/// notice the store's return.
+/// The time for which missing endpoints stay in use assumes this bound on the delay until
+/// an entry detects the store's return.
 const _: () =
     assert!(PAUSE_MAX.as_millis() + CALL_TIMEOUT.as_millis() <= DETECTION_DELAY_MAX.as_millis());
 
-/// The part of an entry while the store doesn't answer.
+/// The role of an entry while the store is lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// It asks for others of its data centre too.
+    /// It calls the store on behalf of its data centre.
     Asks,
-    /// Others ask for it, or it hears nobody and will hardly get an answer.
+    /// Other entries call on its behalf, or it receives datagrams from none and is unlikely
+    /// to get an answer.
     Relies,
 }
 
-/// The health of an entry's way to the store.
+/// The health of an entry's path to the store.
 #[derive(Debug, Default)]
 pub struct Link {
     lost: Option<Instant>,
     failures: u32,
-    /// When the store may be asked again while it is lost.
+    /// When the store may be called next while it is lost.
     next: Option<Instant>,
 }
 
 impl Link {
-    /// Returns how long to wait before the store is asked, or nothing if it may be asked
-    /// now; that takes the turn, so that no other task asks meanwhile.
+    /// Returns how long to wait before the store may be called, or `None` if it may be
+    /// called now. `None` reserves the call for this task: others have to wait until it is
+    /// done.
     pub fn wait(&mut self, now: Instant) -> Option<Duration> {
         self.lost?;
         let left = self.next.map(|at| at.saturating_duration_since(now));
@@ -60,8 +64,8 @@
         left
     }
 
-    /// Notes a failed call; returns whether the store was lost with it. `jitter`, from 0 to
-    /// 1, spreads the calls of entries that have lost it at once.
+    /// Records a failed call; returns whether the store is newly lost. `jitter`, from 0 to
+    /// 1, spreads the calls of entries that lost the store at the same time.
     pub fn fail(&mut self, role: Role, now: Instant, jitter: f64) -> bool {
         let (first, most) = match role {
             Role::Asks => (PAUSE, PAUSE_MAX),
@@ -77,14 +81,14 @@
         is_new
     }
 
-    /// Tells whether the store is lost.
+    /// Returns whether the store is lost.
     #[must_use]
     pub const fn is_lost(&self) -> bool {
         self.lost.is_some()
     }
 
-    /// Takes that the store came back at `returned` for another entry of the data centre;
-    /// returns whether this one had lost the store before that.
+    /// Records that the store answered another entry of the data centre again at
+    /// `returned`; returns whether this entry had lost the store before that.
     pub fn note_return(&mut self, returned: Instant) -> bool {
         let heard = self.lost.is_some_and(|lost| lost < returned);
         if heard {
@@ -93,7 +97,7 @@
         heard
     }
 
-    /// Notes an answer; returns for how long the store was lost if it was.
+    /// Records an answer; returns for how long the store was lost, `None` if it was not.
     pub fn answer(&mut self, now: Instant) -> Option<Duration> {
         self.failures = 0;
         self.next = None;
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/listing.rs
@@ -1,5 +1,4 @@
-//! Statements between entries, load reports of agents, and the answers to
-//! callers that ask where to connect.
+//! The exchange of datagrams with other entries and agents.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,20 +15,19 @@
 use crate::notifications;
 use crate::peer::{self, Changes, Datagram};
 
-/// How often entries near are asked whether they are ready.
+/// Interval at which other entries are polled for their state.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
-/// How often agents that have not been heard yet are subscribed to.
+/// Interval at which subscriptions to agents are repeated until their first report.
 const RESUBSCRIBE_INTERVAL: Duration = Duration::from_millis(60);
-/// Every how many rounds agents are subscribed to; a subscription lasts
-/// several rounds.
+/// Agents are subscribed to every this many poll rounds; a subscription lasts several
+/// rounds.
 const SUBSCRIBE_ROUNDS: u32 = 2;
-/// The most endpoints of which changes are passed on at once: with some 130
-/// bytes each they fit into a datagram.
+/// Limit of endpoints in one datagram of changes: with about 130 bytes each they fit.
 const CHANGES_MAX: usize = 100;
-/// The largest datagram that is read.
+/// Maximum size of a received datagram, in bytes.
 const DATAGRAM_MAX: usize = 16 * 1024;
 
-/// Asks and answers other entries and takes agents' reports.
+/// Polls and answers other entries, and handles agents' reports, until the process ends.
 pub(crate) async fn run(shared: Rc<SharedState>, socket: Rc<UdpSocket>) {
     let mut ticks = tokio::time::interval(POLL_INTERVAL);
     ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
@@ -42,7 +40,7 @@
         tokio::select! {
             received = socket.recv_from(&mut buffer) => match received {
                 Ok((length, from)) => handle(&shared, &socket, &buffer[..length], from),
-                Err(error) => tracing::debug!(%error, "datagram not received"),
+                Err(error) => tracing::debug!(%error, "receiving a datagram failed"),
             },
             () = shared.notifications.pushed() => notifications::send_due(&shared, &socket, false, clock::now()),
             _ = resubscribe_ticks.tick(), if has_missing => has_missing = subscribe_missing(&shared, &socket),
@@ -61,7 +59,9 @@
 fn handle(shared: &SharedState, socket: &UdpSocket, bytes: &[u8], from: SocketAddr) {
     let now = clock::now();
     match datagram::decode(bytes) {
-        Ok(Datagram::Subscribe) => tracing::debug!(%from, "subscription to loads at an entry"),
+        Ok(Datagram::Subscribe) => {
+            tracing::debug!(%from, "load subscription ignored, this is an entry")
+        }
         Ok(Datagram::Ask {
             entry,
             ready,
@@ -86,18 +86,18 @@
             let reports = limits.iter().filter_map(|limit| limit.report(now));
             shared.apply_limit_reports(&reports.collect::<Vec<_>>(), now);
         }
-        Err(error) => tracing::debug!(%from, %error, "datagram dropped"),
+        Err(error) => tracing::debug!(%from, %error, "invalid datagram dropped"),
     }
 }
 
-/// Takes whether the entry at `from` takes callers' requests.
+/// Records whether the entry at `from` accepts callers' requests.
 fn record_state(shared: &SharedState, from: SocketAddr, ready: bool, now: Instant) {
     if let Some(host) = shared.peers.borrow_mut().record_state(from, ready, now) {
         tracing::info!(host, ready, "entry changed");
     }
 }
 
-/// Returns how this entry is.
+/// Returns this entry's state for other entries.
 fn state(shared: &SharedState, round: u32, now: Instant) -> peer::State {
     let age = shared.freshness.borrow().age(now);
     peer::State {
@@ -107,7 +107,8 @@
             .configuration()
             .map_or(0, |configuration| configuration.version),
         proof_age: age.and_then(|age| u32::try_from(age.as_millis()).ok()),
-        // Only what can be passed on: others would ask the store for the rest.
+        // Only positions whose changes this entry can forward: others would call the
+        // store for the rest.
         known: shared.lag.progress().known(),
         returned_ago: shared.returned_ago(now),
         evacuated: shared.evacuated(now),
@@ -146,9 +147,9 @@
     fleet.report(load.endpoint, &report, now);
 }
 
-/// Returns the requests that an endpoint counts for beyond its own, since
-/// passes of its group are `slower` than those of the fastest: the group's
-/// other ranks are what a request waits for there.
+/// Returns the number of requests by which an endpoint's load is raised because the
+/// passes of its group are `slower` than those of the fastest group: requests there wait
+/// for the group's other ranks.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
@@ -192,7 +193,7 @@
     }
 }
 
-/// Subscribes to agents that have not been heard yet; returns whether there are any.
+/// Subscribes to agents that have not sent a first report; returns whether there are any.
 fn subscribe_missing(shared: &SharedState, socket: &UdpSocket) -> bool {
     let port = shared.options().agent_port;
     let awaiting_agent = shared.fleet.borrow().awaiting_agent(clock::now());
@@ -203,8 +204,8 @@
     !awaiting_agent.is_empty()
 }
 
-/// Passes changes of endpoints on to the entries of this data centre. One that
-/// doesn't get them finds itself behind the store and asks there.
+/// Forwards changes of endpoints to the entries of this data centre. An entry that misses
+/// them detects that it is behind the store and calls it.
 pub(crate) fn pass_on(shared: &SharedState, socket: &UdpSocket, changes: Changes) {
     if changes.endpoints.len() > CHANGES_MAX {
         return;
@@ -215,7 +216,7 @@
     }
 }
 
-/// Tells the entries near how this one is, since that has just changed.
+/// Sends this entry's changed state to the entries of its data centre.
 pub(crate) fn announce(shared: &SharedState, socket: &UdpSocket) {
     let state = Datagram::State(state(shared, 0, clock::now()));
     for peer in shared.peers.borrow().in_data_centre() {
@@ -223,7 +224,8 @@
     }
 }
 
-/// Tells the entries near that this one takes no callers any more.
+/// Sends the entries of this data centre, and all polled ones, the state that this entry
+/// accepts no more requests.
 pub(crate) fn announce_stop(shared: &SharedState, socket: &UdpSocket) {
     let peers = shared.peers.borrow();
     let mut receivers = peers.in_data_centre();
@@ -239,11 +241,12 @@
     }
 }
 
-/// Sends a datagram; one that can't be sent now is as good as lost on its way.
+/// Sends a datagram. If the socket is not ready the datagram is dropped, like one that is
+/// lost on the network.
 pub(crate) fn send(socket: &UdpSocket, message: &Datagram, to: SocketAddr) {
     if let Err(error) = socket.try_send_to(&datagram::encode(message), to)
         && error.kind() != io::ErrorKind::WouldBlock
     {
-        tracing::debug!(%to, %error, "datagram not sent");
+        tracing::debug!(%to, %error, "sending a datagram failed");
     }
 }
--- a/crates/gateway/src/notifications.rs
+++ b/crates/gateway/src/notifications.rs
@@ -1,4 +1,5 @@
-//! What other entries are told of requests that end endpoints, and of endpoints in need.
+//! Notifications to other entries about requests that crash endpoints and about rate
+//! limits of endpoints.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -17,23 +18,24 @@
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::limits::Word;
 
-/// How often the entry that saw a crash tells all others, half a second apart: where one
-/// datagram in 30 is lost, one entry in 27,000 hears of it only from others.
+/// Number of times that the entry that observed a crash sends it to all others, half a
+/// second apart. With a loss of one datagram in 30, one entry in 27,000 receives it only
+/// from others.
 const REPEATS: u32 = 3;
-/// How many entries an entry tells of a crash that it was told of, so that those which the
-/// first can't reach hear of it too.
+/// Number of entries to which a received crash report is forwarded, for entries that the
+/// sender can't reach.
 const FORWARD_COUNT: usize = 3;
 
-/// What is told.
+/// A notification to other entries.
 #[derive(Debug, Clone)]
 pub(crate) enum Notification {
-    /// An endpoint ended under a request.
+    /// An endpoint crashed while it ran a request.
     Crash(Content, Crash),
-    /// A request is held until then.
+    /// A request is quarantined until the given time.
     Held(Content, Instant),
-    /// A request was served whole.
+    /// A request was served completely.
     Served(Content),
-    /// Endpoints have these limits.
+    /// Endpoints have these rate limits.
     Limits(Vec<Word>),
 }
 
@@ -52,19 +54,19 @@
                 left: millis(until.saturating_duration_since(now)),
             }),
             Self::Served(content) => Datagram::Served(*content),
-            Self::Limits(words) => {
-                let limit = |word: &Word| peer::Limit {
-                    endpoint: word.endpoint.clone(),
-                    rate: word.limit.map(Rate::per_second),
-                    ago: millis(now.saturating_duration_since(word.at)),
+            Self::Limits(reports) => {
+                let limit = |report: &Word| peer::Limit {
+                    endpoint: report.endpoint.clone(),
+                    rate: report.limit.map(Rate::per_second),
+                    ago: millis(now.saturating_duration_since(report.at)),
                 };
-                Datagram::Limits(words.iter().map(limit).collect())
+                Datagram::Limits(reports.iter().map(limit).collect())
             }
         }
     }
 }
 
-/// Who is told.
+/// The receivers of a notification.
 #[derive(Debug, Clone, Copy)]
 enum Audience {
     All,
@@ -77,13 +79,13 @@
 struct Due {
     notification: Notification,
     audience: Audience,
-    /// How often it is still to be told.
+    /// How many more times it is to be sent.
     times: u32,
-    /// Whether it has been told already.
+    /// Whether it has been sent at least once.
     sent: bool,
 }
 
-/// What other entries are to be told.
+/// The queue of notifications to other entries.
 #[derive(Debug, Default)]
 pub(crate) struct Notifications {
     due: RefCell<Vec<Due>>,
@@ -91,27 +93,27 @@
 }
 
 impl Notifications {
-    /// Has all entries told, several times.
+    /// Queues a notification to all entries, sent [`REPEATS`] times.
     pub(crate) fn broadcast_repeatedly(&self, notification: Notification) {
         self.push(notification, Audience::All, REPEATS);
     }
 
-    /// Has all entries told once.
+    /// Queues a notification to all entries, sent once.
     pub(crate) fn broadcast(&self, notification: Notification) {
         self.push(notification, Audience::All, 1);
     }
 
-    /// Has a few entries told.
+    /// Queues a notification to [`FORWARD_COUNT`] random entries.
     pub(crate) fn send_to_few(&self, notification: Notification) {
         self.push(notification, Audience::Few, 1);
     }
 
-    /// Has one entry told, whichever.
+    /// Queues a notification to one random entry.
     pub(crate) fn send_to_any(&self, notification: Notification) {
         self.push(notification, Audience::Any, 1);
     }
 
-    /// Has this entry told.
+    /// Queues a notification to the given entry.
     pub(crate) fn send_to(&self, notification: Notification, entry: SocketAddr) {
         self.push(notification, Audience::One(entry), 1);
     }
@@ -126,13 +128,14 @@
         self.pushed.notify_one();
     }
 
-    /// Waits until there is something new to be told.
+    /// Waits until a notification is queued.
     pub(crate) async fn pushed(&self) {
         self.pushed.notified().await;
     }
 }
 
-/// Tells what is new, or what is to be told `again` as well, and keeps what is due later.
+/// Sends the notifications that have not been sent yet and, if `again` is set, the repeats
+/// that are due. Those with repeats left stay queued.
 pub(crate) fn send_due(shared: &SharedState, socket: &UdpSocket, again: bool, now: Instant) {
     let due = std::mem::take(&mut *shared.notifications.due.borrow_mut());
     for mut due in due {
@@ -160,7 +163,7 @@
     }
 }
 
-/// Returns so many other entries, drawn at random.
+/// Returns up to `number` other entries, chosen at random.
 fn random_peers(shared: &SharedState, number: usize) -> Vec<SocketAddr> {
     let all = shared.peers.borrow().all();
     let mut rng = shared.rng.borrow_mut();
--- a/crates/gateway/src/outage.rs
+++ b/crates/gateway/src/outage.rs
@@ -1,38 +1,38 @@
-//! How long endpoints are used that the store has lost in an outage.
+//! How long endpoints that the store lost in an outage stay in use.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 
-/// How long after the store's return an endpoint is used that it no longer
-/// names: living ones register again within about two seconds. A host has three
-/// seconds from when its way to the store is sound until it has to know which
-/// endpoints have left, and may notice the return late by [`DETECTION_DELAY_MAX`].
+/// Time for which an endpoint missing from the store stays in use after the store's
+/// return. Endpoints that still run register again within about two seconds. An entry
+/// must have observed which endpoints left within three seconds of its path to the store
+/// working again, and may detect the return late by [`DETECTION_DELAY_MAX`].
 pub const REREGISTRATION_TIME: Duration = Duration::from_millis(1_600);
-/// By how much an entry notices the store's return too late: a call that was
-/// under way has to fail, and the longest pause follows.
+/// Longest delay until an entry detects the store's return: a call in progress has to
+/// fail, then the longest pause between calls follows.
 pub const DETECTION_DELAY_MAX: Duration = Duration::from_millis(1_400);
 
-/// When the store came back from an outage, as far as this entry saw one.
+/// The last outage of the store that this entry observed, by the time at which it ended.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Outage {
     returned: Option<Instant>,
 }
 
 impl Outage {
-    /// Notes that the store answers again.
+    /// Records that the store answers again.
     pub fn end(&mut self, now: Instant) {
         self.returned = self.returned.max(Some(now));
     }
 
-    /// Returns how long ago the store came back, if it was away.
+    /// Returns the time since the end of the last outage, `None` if there was none.
     #[must_use]
     pub fn ended_ago(&self, now: Instant) -> Option<Duration> {
         Some(now.saturating_duration_since(self.returned?))
     }
 
-    /// Returns until when an endpoint is used that is missing at `now`, `None`
-    /// if it is gone.
+    /// Returns until when an endpoint that is missing at `now` stays in use, `None` if it
+    /// is to be dropped at once.
     #[must_use]
     pub fn kept_until(&self, now: Instant) -> Option<Instant> {
         let until = self.returned? + REREGISTRATION_TIME;
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -13,27 +13,26 @@
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::limits::Word;
 
-/// What an agent measured of its own endpoint.
+/// The load of an endpoint, as measured by its agent.
 #[message]
 pub struct Load {
-    /// Where the endpoint takes requests.
+    /// The address at which the endpoint accepts requests.
     pub endpoint: SocketAddr,
-    /// When it started, if it says so.
+    /// The endpoint's start time, if it states one.
     pub born: Option<StartTime>,
-    /// The requests that run or wait there.
+    /// Number of requests that run or wait there.
     pub requests: u32,
-    /// Whether its group of ranks can take requests.
+    /// Whether its group of ranks can accept requests.
     pub open: bool,
-    /// How long a pass of its group takes now, in milliseconds; zero while it
-    /// makes none.
+    /// Duration of its group's current passes, in milliseconds; zero while it makes none.
     pub pass: u16,
-    /// The part of the memory for prompts that is in use, in thousandths.
+    /// Share of the prompt memory that is in use, in thousandths.
     pub memory: u16,
     /// How slow the endpoint is.
     pub pace: Pace,
 }
 
-/// An entry as it makes itself known to others.
+/// The registration of an entry.
 #[message]
 #[derive(Eq)]
 pub struct Entry {
@@ -41,78 +40,78 @@
     pub host: String,
     /// The data centre of its host.
     pub data_centre: String,
-    /// Where callers connect.
+    /// The address at which callers connect.
     pub listen: SocketAddr,
-    /// Where it takes datagrams.
+    /// The address at which it receives datagrams.
     pub peers: SocketAddr,
 }
 
-/// A datagram.
+/// A datagram between entries, or between an entry and an agent.
 #[message]
 pub enum Datagram {
-    /// An entry subscribes to an agent's loads.
+    /// An entry subscribes to an agent's load reports.
     Subscribe,
-    /// An entry asks another how it is, and makes itself known.
+    /// An entry polls another one for its state, and sends its own registration.
     Ask {
-        /// Who asks.
+        /// The sender's registration.
         entry: Entry,
-        /// Whether it takes callers' requests.
+        /// Whether the sender accepts callers' requests.
         ready: bool,
-        /// The number of the question, which the answer repeats.
+        /// The number of the poll round, which the answer repeats.
         round: u32,
     },
-    /// An entry states how it is.
+    /// An entry reports its state.
     State(State),
-    /// An agent states its endpoint's load.
+    /// An agent reports its endpoint's load.
     Load(Load),
-    /// An entry passes on how endpoints changed.
+    /// An entry forwards changes of endpoints.
     Changes(Changes),
-    /// An endpoint ended under a request.
+    /// An endpoint crashed during a request.
     Crash(Crash),
-    /// An entry holds a request.
+    /// An entry has quarantined a request.
     Held(Quarantined),
-    /// A request was served whole that others may suspect or hold.
+    /// A request was served completely that others may suspect or have quarantined.
     Served(Content),
-    /// What an entry knows of endpoints' limits.
+    /// An entry reports rate limits of endpoints.
     Limits(Vec<Limit>),
 }
 
-/// An endpoint that ended while it ran a request which had given nothing yet.
+/// The crash of an endpoint during a request that had produced no output yet.
 #[message]
 pub struct Crash {
-    /// What all attempts of the request have in common.
+    /// Digest of the content that all attempts of the request have in common.
     pub content: Content,
-    /// The life of the endpoint.
+    /// The incarnation of the endpoint.
     pub endpoint: String,
-    /// How long ago the request was sent there, in milliseconds.
+    /// Time since the request was sent there, in milliseconds.
     pub sent_ago: u32,
-    /// How long ago the endpoint was seen to have ended, in milliseconds.
+    /// Time since the crash was observed, in milliseconds.
     pub ago: u32,
 }
 
-/// A request that an entry keeps from endpoints.
+/// A request that an entry has quarantined.
 #[message]
 pub struct Quarantined {
-    /// What all attempts of the request have in common.
+    /// Digest of the content that all attempts of the request have in common.
     pub content: Content,
-    /// How long it is held still, in milliseconds.
+    /// Remaining time of the quarantine, in milliseconds.
     pub left: u32,
 }
 
-/// The limit of an endpoint, as an entry heard it.
+/// The rate limit of an endpoint, as observed by an entry.
 #[message]
 pub struct Limit {
-    /// The name of the endpoint.
+    /// The name of the endpoint's registration.
     pub endpoint: String,
-    /// The requests a second that it takes from all entries together; none if it has no limit
-    /// any more.
+    /// Requests per second that it accepts from all entries together, `None` if it no longer
+    /// has a limit.
     pub rate: Option<f64>,
-    /// How long ago that was heard, in milliseconds.
+    /// Time since the limit was observed, in milliseconds.
     pub ago: u32,
 }
 
 impl Limit {
-    /// Returns what it says, or `None` if its rate is no rate.
+    /// Returns the report, or `None` if its rate is invalid.
     pub(crate) fn report(&self, now: Instant) -> Option<Word> {
         let limit = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
@@ -126,48 +125,48 @@
     }
 }
 
-/// All changes of endpoints between two positions of the store, in their order.
+/// All changes of endpoints between two positions of the store, in order.
 #[message]
 pub struct Changes {
     /// The position after which they begin.
     pub from: Position,
-    /// The position up to which there are no others.
+    /// The position up to which they are complete.
     pub to: Position,
-    /// How long ago the store came back from an outage, in milliseconds, if the
-    /// sender saw one.
+    /// Time since the end of the store's last outage that the sender observed, in
+    /// milliseconds.
     pub returned_ago: Option<u32>,
-    /// The names of endpoints with their registrations; none if one is gone.
+    /// The names of endpoints with their registrations, `None` for a removed one.
     pub endpoints: Vec<(String, Option<Endpoint>)>,
 }
 
-/// What an entry knows of the data centres that operators have emptied.
+/// An entry's cached evacuations of data centres.
 #[message]
 #[derive(Eq)]
 pub struct Evacuated {
-    /// The position of the store at which these were read.
+    /// The position of the store at which they were read.
     pub position: Position,
-    /// The data centres that are evacuated.
+    /// The evacuated data centres.
     pub data_centres: Vec<String>,
-    /// How long ago the store was asked whose answer confirmed them, in milliseconds.
+    /// Time since the call to the store whose answer confirmed them, in milliseconds.
     pub age: Option<u32>,
 }
 
-/// How an entry is.
+/// The state of an entry.
 #[message]
 #[derive(Eq)]
 pub struct State {
-    /// Whether it takes callers' requests.
+    /// Whether it accepts callers' requests.
     pub ready: bool,
-    /// The number of the question that this answers; zero if it answers none.
+    /// The number of the poll round that this answers, zero if it answers none.
     pub round: u32,
     /// The version of its configuration.
     pub version: u64,
-    /// How old its proof of that version is, in milliseconds, if it has one.
+    /// Age of its confirmation of that version, in milliseconds, if it has one.
     pub proof_age: Option<u32>,
-    /// The position up to which it knows endpoints.
+    /// The position up to which its cached endpoints are complete.
     pub known: Position,
-    /// How long ago the store came back for it after an outage, in milliseconds.
+    /// Time since the end of the store's last outage that it observed, in milliseconds.
     pub returned_ago: Option<u32>,
-    /// What it knows of evacuated data centres, if it follows them.
+    /// Its cached evacuations, if it follows them.
     pub evacuated: Option<Evacuated>,
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -1,4 +1,4 @@
-//! Which other entries are there and ready.
+//! The other entries and whether they are ready.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,18 +8,18 @@
 
 use crate::peer::Entry;
 
-/// How long a statement of readiness counts: two lost datagrams are borne, and
-/// a dead entry is off the lists before callers' next question.
+/// How long a received state is valid. Two lost datagrams are tolerated, and a crashed
+/// entry is removed from the lists before callers next fetch them.
 const STATE_TIME: Duration = Duration::from_millis(1_700);
-/// The most entries that are asked, so that the cost stays the same however many there
-/// are. Those that ask tell how they are too, so that up to 31 know of each other.
+/// Limit of polled entries, which bounds the cost regardless of their number. A poll also
+/// carries the sender's state, so up to 31 entries exchange their states with each other.
 pub const POLLED_MAX: usize = 16;
 /// How many of them are the first of the data centre by name, which watch the store and
-/// prove its state for the others; the rest follow this entry by name, and begin again
-/// after the last, so that each is asked by equally many.
+/// confirm its state for the others. The rest are the successors of this entry by name,
+/// wrapping around, so each entry is polled by equally many.
 const POLLED_FIRST: usize = 2;
-/// The entries from which on a list is long enough to stay within the
-/// caller's data centre.
+/// Number of entries from which a list is long enough to be limited to the caller's data
+/// centre.
 const LIST_MIN: usize = 2;
 
 #[derive(Debug)]
@@ -49,7 +49,7 @@
 }
 
 impl Peers {
-    /// Creates the list of an entry that knows no others.
+    /// Creates an empty list.
     #[must_use]
     pub fn new(host: &str, data_centre: &str) -> Self {
         Self {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Takes an entry's registration.
+    /// Applies an entry's registration.
     pub fn insert(&mut self, entry: Entry) {
         if entry.host == self.host {
             return;
@@ -78,26 +78,26 @@
         }
     }
 
-    /// Takes that an entry withdrew.
+    /// Removes an entry that deregistered.
     pub fn remove(&mut self, host: &str) {
         self.rows.remove(host);
     }
 
-    /// Returns the hosts of all entries, this one included, in no order.
+    /// Returns the hosts of all registered entries, including this one, in no particular
+    /// order.
     #[must_use]
     pub fn hosts(&self) -> Vec<&str> {
         let others = self.rows.iter().map(|(host, _)| host.as_str());
         others.chain([self.host.as_str()]).collect()
     }
 
-    /// Returns how many entries there may be, this one included.
+    /// Returns the number of registered entries, including this one.
     #[must_use]
     pub fn count(&self) -> u32 {
         u32::try_from(self.rows.len() + 1).unwrap_or(u32::MAX)
     }
 
-    /// Returns how many ready entries of this data centre come before this one
-    /// in the order of names.
+    /// Returns how many ready entries of this data centre precede this one by name.
     #[must_use]
     pub fn ready_before(&self, now: Instant) -> u32 {
         let before = |row: &&Row| {
@@ -108,8 +108,8 @@
         u32::try_from(self.rows.values().filter(before).count()).unwrap_or(u32::MAX)
     }
 
-    /// Returns how many entries of this data centre that are heard come before this one in
-    /// the order of names; `None` if others are known and none is heard.
+    /// Returns how many alive entries of this data centre precede this one by name; `None`
+    /// if other entries are registered and none of them is alive.
     #[must_use]
     pub fn alive_before(&self, now: Instant) -> Option<u32> {
         let responsive = || self.rows.values().filter(|row| row.alive(now));
@@ -122,7 +122,7 @@
         Some(u32::try_from(count).unwrap_or(u32::MAX))
     }
 
-    /// Returns where the entries of this data centre take datagrams.
+    /// Returns the datagram addresses of the entries of this data centre.
     #[must_use]
     pub fn in_data_centre(&self) -> Vec<SocketAddr> {
         let near = |row: &&Row| row.entry.data_centre == self.data_centre;
@@ -130,14 +130,14 @@
         rows.map(|row| row.entry.peers).collect()
     }
 
-    /// Returns where all other entries take datagrams.
+    /// Returns the datagram addresses of all other entries.
     #[must_use]
     pub fn all(&self) -> Vec<SocketAddr> {
         self.rows.values().map(|row| row.entry.peers).collect()
     }
 
-    /// Returns where to ask for statements: entries of this data centre, and a few others
-    /// if there are not enough.
+    /// Returns the datagram addresses to poll: entries of this data centre, and those of
+    /// others if it has too few.
     #[must_use]
     pub fn polled(&self) -> Vec<SocketAddr> {
         let near = |row: &&Row| row.entry.data_centre == self.data_centre;
@@ -147,7 +147,7 @@
             polled.extend(rows().filter(|row| !near(row)).map(|row| row.entry.peers));
         } else if polled.len() > POLLED_MAX {
             let before = rows().filter(near).filter(|row| row.entry.host < self.host);
-            // The first stay in front, the others begin after this entry.
+            // The first entries stay in front; the others start after this entry.
             let others = &mut polled[POLLED_FIRST..];
             others.rotate_left(before.count().saturating_sub(POLLED_FIRST) % others.len());
         }
@@ -155,7 +155,7 @@
         polled
     }
 
-    /// Takes a statement; returns the entry's host if it changed.
+    /// Records a received state; returns the entry's host if its readiness changed.
     pub fn record_state(&mut self, from: SocketAddr, ready: bool, now: Instant) -> Option<&str> {
         let found = self
             .rows
@@ -169,7 +169,7 @@
         changed.then_some(row.entry.host.as_str())
     }
 
-    /// Takes entries that have fallen silent for unready; returns their hosts.
+    /// Marks unresponsive entries as not ready; returns their hosts.
     pub fn expire(&mut self, now: Instant) -> Vec<String> {
         let silent = |row: &Row| row.ready && !row.alive(now);
         let rows = self.rows.iter_mut().map(|(_, row)| row);
@@ -180,8 +180,8 @@
         silent.collect()
     }
 
-    /// Returns where callers of `data_centre` should connect: this entry, if
-    /// `own` is given, and ready ones near it.
+    /// Returns the addresses at which callers of `data_centre` should connect: `own` if
+    /// given, and ready entries near the callers.
     #[must_use]
     pub fn list(
         &self,
@@ -192,7 +192,8 @@
         self.list_within(data_centre, own, |_| true, now)
     }
 
-    /// Returns the same, of other entries those in data centres that `is_allowed` allows.
+    /// Returns the same, limited to other entries in data centres that `is_allowed`
+    /// accepts.
     #[must_use]
     pub fn list_within(
         &self,
--- a/crates/gateway/src/polls.rs
+++ b/crates/gateway/src/polls.rs
@@ -1,39 +1,39 @@
-//! When this entry asked others how they are.
+//! The send times of recent polls of other entries.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 
-/// The questions that may still be answered: a few rounds back.
+/// Number of remembered rounds, whose polls may still be answered.
 const KEPT: usize = 4;
 
-/// When this entry asked others how they are.
+/// The send times of recent polls of other entries.
 ///
-/// What another entry states of the age of its proof counts from the moment at
-/// which it was *asked*: its answer can't be older than the question, whatever
-/// the clocks and the network do.
+/// The age of a confirmation that another entry reports is counted back from
+/// the time at which the poll was *sent*: the answer can't be older than the
+/// poll, regardless of clocks and network delays.
 #[derive(Debug, Default)]
 pub struct Polls {
     last: u32,
-    asked: Vec<(u32, Instant)>,
+    sent: Vec<(u32, Instant)>,
 }
 
 impl Polls {
-    /// Begins a round of questions and returns its number.
+    /// Begins a poll round and returns its number.
     pub fn begin(&mut self, now: Instant) -> u32 {
         self.last = self.last.wrapping_add(1).max(1);
-        self.asked.push((self.last, now));
-        if self.asked.len() > KEPT {
-            self.asked.remove(0);
+        self.sent.push((self.last, now));
+        if self.sent.len() > KEPT {
+            self.sent.remove(0);
         }
         self.last
     }
 
-    /// Returns the moment at which a proof holds whose age was stated in answer
-    /// to `round`.
+    /// Returns the time of a confirmation whose age was reported in answer to
+    /// `round`, `None` if the round is no longer remembered.
     #[must_use]
     pub fn confirmed_at(&self, round: u32, age: Duration) -> Option<Instant> {
-        let (_, asked) = self.asked.iter().find(|(known, _)| *known == round)?;
-        asked.checked_sub(age)
+        let (_, sent) = self.sent.iter().find(|(known, _)| *known == round)?;
+        sent.checked_sub(age)
     }
 }
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -1,8 +1,9 @@
-//! The store's records of what entries that start have to know.
+//! The records in the store that entries need at their start.
 //!
-//! All entries may end at once. Callers come again to those that start, and what only entries
-//! remember would let a request that was held end as many endpoints as before; and an entry
-//! that starts can't tell by itself whether the store has just come back from an older copy.
+//! All entries may terminate at once, and callers then retry at newly started ones. If
+//! quarantined requests were only kept in memory, they could crash as many endpoints again. A
+//! new entry also can't detect on its own whether the store was just restored from an older
+//! copy.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -17,18 +18,18 @@
 use crate::knowledge::SharedState;
 use crate::store::{Codec, Error, Kind, QuarantineRecord, Store};
 
-/// What is to be done to a record.
+/// A pending write to a record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Write {
-    /// Writes it.
+    /// Creates the record of a quarantined request.
     Keep(Content),
-    /// Removes it.
+    /// Removes the record of a quarantined request.
     Erase(Content),
-    /// Writes that an era of the store has settled.
+    /// Records that an era of the store has settled.
     Settle(Era),
 }
 
-/// What is to be done to records.
+/// The queue of pending writes.
 #[derive(Debug, Default)]
 pub(crate) struct Records {
     due: RefCell<VecDeque<Write>>,
@@ -36,7 +37,7 @@
 }
 
 impl Records {
-    /// Has a record written or removed.
+    /// Queues a write, unless it is already queued.
     pub(crate) fn push(&self, write: Write) {
         if !self.due.borrow().contains(&write) {
             self.due.borrow_mut().push_back(write);
@@ -54,7 +55,7 @@
     }
 }
 
-/// Writes and removes records for as long as the process lives.
+/// Carries out the queued writes until the process ends.
 pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>) {
     let mut store = shared.store::<C>();
     loop {
@@ -81,7 +82,7 @@
             accept_already_done(store.remove_quarantine(content).await)?;
             "record of a held request removed"
         }
-        // Another one may have begun meanwhile.
+        // A later era may have started since the write was queued.
         Write::Settle(era) if era != shared.eras.current() => return Ok(()),
         Write::Settle(era) => {
             store.write_settled_era(era).await?;
@@ -98,7 +99,7 @@
     content: Content,
 ) -> Result<(), Error> {
     let left = shared.quarantine.borrow().holds(content, clock::now());
-    // It may have been cleared meanwhile.
+    // It may have been cleared since the write was queued.
     let Some(left) = left else {
         return Ok(());
     };
@@ -112,7 +113,7 @@
     Ok(())
 }
 
-/// Takes it for done if another entry was first.
+/// Treats a conflict or a missing object as success: another entry was first.
 fn accept_already_done(result: Result<(), Error>) -> Result<(), Error> {
     match result {
         Err(Error::Refused(StatusCode::CONFLICT | StatusCode::NOT_FOUND)) => Ok(()),
--- a/crates/gateway/src/regions.rs
+++ b/crates/gateway/src/regions.rs
@@ -1,9 +1,9 @@
-//! Which data centres stand in which region.
+//! The region of each data centre.
 
 use cactusnotch_base::{Table, name};
 use cactusnotch_derive::record;
 
-/// Which data centres stand in which region.
+/// The region of each data centre.
 #[record]
 #[derive(Default)]
 pub struct Regions {
@@ -11,15 +11,15 @@
 }
 
 impl Regions {
-    /// Tells whether a data centre stands in one of some regions. One that is in no known
-    /// region doesn't.
+    /// Returns whether a data centre is in any of `regions`; a data centre without a
+    /// known region is in none.
     #[must_use]
     pub fn any_contains<S: AsRef<str>>(&self, regions: &[S], data_centre: &str) -> bool {
         let region = self.by_data_centre.get(data_centre);
         region.is_some_and(|region| regions.iter().any(|home| home.as_ref() == region))
     }
 
-    /// Returns the data centres that stand in some regions.
+    /// Returns the data centres in any of `regions`.
     #[must_use]
     pub fn data_centres<S: AsRef<str>>(&self, regions: &[S]) -> Vec<name::DataCentre> {
         let names = self.by_data_centre.keys();
--- a/crates/gateway/src/registration.rs
+++ b/crates/gateway/src/registration.rs
@@ -1,4 +1,4 @@
-//! How entries make themselves known to each other by the store.
+//! Registration of entries in the store, through which they discover each other.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,16 +9,16 @@
 use crate::knowledge::SharedState;
 use crate::store::{Codec, Kind};
 
-/// The time over which entries register themselves anew once the store came back from an older
-/// copy.
+/// Time over which entries spread their renewed registrations after the store was restored
+/// from an older copy.
 const REGISTER_SPREAD: Duration = Duration::from_secs(2);
-/// When entries are listed: soon after the start, when all have registered,
-/// and then rarely, since entries also make themselves known to each other. A
-/// stale listing costs a tenth of a call.
+/// When entries are listed: soon after the start, when all have registered, and then rarely,
+/// since entries also send each other their registrations. A stale listing costs a tenth of a
+/// call.
 const ENTRIES_DELAY: Duration = Duration::from_millis(600);
 const ENTRIES_INTERVAL: Duration = Duration::from_secs(12);
 
-/// Makes this entry known to the others, and again whenever the store may have lost that.
+/// Registers this entry, and again whenever the store may have lost the registration.
 pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>) {
     let mut store = shared.store::<C>();
     loop {
@@ -46,15 +46,15 @@
     }
 }
 
-/// Lists the other entries now and then.
+/// Lists the other entries periodically.
 pub(crate) async fn list<C: Codec>(shared: Rc<SharedState>) {
     let mut store = shared.store::<C>();
     tokio::select! {
         () = tokio::time::sleep(ENTRIES_DELAY) => {}
-        // The listing has the record that tells whether the era of the store is young.
+        // The listing contains the record that states whether the store's era has settled.
         () = shared.unsettled.notified() => {}
     }
-    // Those that have just registered are missing from a stale listing.
+    // A stale listing lacks the entries that have just registered.
     let mut stale = false;
     loop {
         match store
@@ -75,7 +75,7 @@
         }
         let first = shared.peers.borrow().ready_before(clock::now()) == 0;
         tokio::select! {
-            // It writes what is missing then for all of its data centre.
+            // The first entry writes the missing records for its data centre.
             () = shared.eras.changed(), if first => {
                 tokio::time::sleep(REGISTER_SPREAD).await;
                 stale = false;
--- a/crates/gateway/src/renewal.rs
+++ b/crates/gateway/src/renewal.rs
@@ -1,4 +1,4 @@
-//! Keeps the proof of the configuration fresh.
+//! Renews the confirmation of the configuration.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use crate::store::{Codec, Error, Kind, Store, WatchAnswer};
 use crate::watcher::NO_WAIT;
 
-/// How often the age of the proof is looked at.
+/// Interval at which the age of the confirmation is checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(150);
 
-/// Keeps the proof of the configuration fresh, by own calls or by those of
-/// other entries.
+/// Renews the confirmation of the configuration, by calls to the store unless
+/// other entries deliver it.
 pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>) {
     let mut store = shared.store::<C>();
     loop {
@@ -37,7 +37,7 @@
 
 async fn renew<C: Codec>(shared: &SharedState, store: &mut Store<C>) -> Result<(), Error> {
     let kind = Kind::Configuration;
-    let asked = clock::now();
+    let sent_at = clock::now();
     let from = shared.position.get();
     let watched = if from.era() == shared.eras.current() {
         store.watch(kind, from, NO_WAIT).await
@@ -58,6 +58,6 @@
     for change in answer.changes {
         shared.apply(kind, change, answer.position, now);
     }
-    shared.confirm_configuration(answer.position, asked);
+    shared.confirm_configuration(answer.position, sent_at);
     Ok(())
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -1,4 +1,4 @@
-//! The platform's store as an entry or an agent uses it.
+//! The client of the platform's store, used by entries and agents.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -18,13 +18,13 @@
 use crate::peer::Entry;
 use crate::{Configuration, Endpoint};
 
-/// The longest time to connect to the store; it stands in the same region.
+/// Timeout for connecting to the store, which is in the same region.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// The longest time for a call that does not wait for changes. The store
-/// answers in milliseconds; sixty times as slow is within this.
+/// Timeout for a call that does not wait for changes. The store answers in milliseconds;
+/// sixty times as long is still within this.
 pub(crate) const CALL_TIMEOUT: Duration = Duration::from_secs(1);
-/// The longest answer that is read: an object has at most a megabyte, and a
-/// page about as much again.
+/// Maximum size of an answer, in bytes: an object has at most a megabyte, and a page about as
+/// much on top.
 const ANSWER_MAX: usize = 4 << 20;
 
 /// A kind of objects.
@@ -36,10 +36,10 @@
     /// Endpoints, which register themselves.
     #[display("endpoints")]
     Endpoints,
-    /// Entries, which register themselves, and what they keep for each other.
+    /// Entries, which register themselves, and the records that they write for each other.
     #[display("entries")]
     Entries,
-    /// The data centres that operators have emptied.
+    /// The data centres that operators have evacuated.
     #[display("evacuations")]
     Evacuations,
 }
@@ -53,22 +53,22 @@
     Endpoint(Endpoint),
     /// An entry.
     Entry(Entry),
-    /// A record that a request is held.
+    /// The record of a quarantined request.
     QuarantineRecord(QuarantineRecord),
-    /// The record of the newest era in which an entry has proved the configuration.
+    /// The record of the latest era in which an entry has confirmed the configuration.
     SettledEra(Era),
-    /// The object's name is that of a data centre which operators have emptied.
+    /// The evacuation of the data centre that the object is named after.
     Evacuation,
 }
 
-/// A record that a request is kept from endpoints, since it ends them.
+/// The record of a request that is quarantined because it crashes endpoints.
 #[record]
 #[derive(Copy)]
 pub struct QuarantineRecord {
-    /// What all attempts of the request have in common.
+    /// Digest of the content that all attempts of the request have in common.
     pub content: Content,
-    /// Until when, by the time of day: the record outlives all steady clocks, and some
-    /// seconds more or less of an hour matter to nobody.
+    /// The end of the quarantine, in wall-clock time: the record outlives any monotonic
+    /// clock, and an error of seconds in an hour is harmless.
     pub until: SystemTime,
 }
 
@@ -77,116 +77,116 @@
 pub struct Change {
     /// The object's name.
     pub name: String,
-    /// Its content, `None` if it is gone, or why it can't be read.
+    /// Its content, `None` if it was removed, or an error if it can't be read.
     pub item: Result<Option<Item>, Unreadable>,
 }
 
-/// Why an object or an answer can't be read.
+/// An object or an answer that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("{kind}: {detail}")]
 pub struct Unreadable {
-    /// What was to be read.
+    /// The kind of objects that was read.
     pub kind: Kind,
-    /// What is wrong with it.
+    /// The decoder's message.
     pub detail: String,
 }
 
-/// What the store answered to a listing or a watch.
+/// The store's answer to a listing or a watch.
 #[derive(Debug)]
 pub struct Answer {
-    /// The objects or changes in order.
+    /// The objects or changes, in order.
     pub changes: Vec<Change>,
     /// The position up to which they are complete.
     pub position: Position,
-    /// Whether more objects follow the last of these.
+    /// Whether more objects follow on another page.
     pub more: bool,
 }
 
-/// How calls to the store are written and its answers read.
+/// Encoding of calls to the store and decoding of its answers.
 pub trait Codec: 'static {
-    /// Writes the call that lists objects after the name `after`. A `stale`
-    /// listing may be seconds old.
+    /// Encodes the call that lists objects after the name `after`. A `stale` listing may be
+    /// seconds old.
     fn list(kind: Kind, after: Option<&str>, stale: bool) -> Request<Bytes>;
 
-    /// Writes the call that waits for changes after `from`.
+    /// Encodes the call that waits for changes after `from`.
     fn watch(kind: Kind, from: Position, wait: Duration) -> Request<Bytes>;
 
-    /// Writes the call that creates an entry's object.
+    /// Encodes the call that creates an entry's object.
     fn create(entry: &Entry) -> Request<Bytes>;
 
-    /// Writes the call that replaces an entry's object.
+    /// Encodes the call that replaces an entry's object.
     fn replace(entry: &Entry) -> Request<Bytes>;
 
-    /// Writes the call that removes an entry's object.
+    /// Encodes the call that removes an entry's object.
     fn remove(host: &str) -> Request<Bytes>;
 
-    /// Writes the call that creates the record of a held request.
+    /// Encodes the call that creates the record of a quarantined request.
     fn create_quarantine(record: &QuarantineRecord) -> Request<Bytes>;
 
-    /// Writes the call that removes the record of a held request.
+    /// Encodes the call that removes the record of a quarantined request.
     fn remove_quarantine(content: Content) -> Request<Bytes>;
 
-    /// Writes the call that creates the record of a settled era.
+    /// Encodes the call that creates the record of a settled era.
     fn create_settled_era(era: Era) -> Request<Bytes>;
 
-    /// Writes the call that replaces the record of a settled era.
+    /// Encodes the call that replaces the record of a settled era.
     fn replace_settled_era(era: Era) -> Request<Bytes>;
 
-    /// Reads the era that the store states in the head of an answer, the first one if it
-    /// states none; `None` if that can't be read.
+    /// Decodes the era from the headers of an answer; the first era if the store states none,
+    /// `None` if it can't be decoded.
     fn era(head: &HeaderMap) -> Option<Era>;
 
-    /// Writes an era into the head of an answer, as the store does.
+    /// Adds an era to the headers of an answer, in the store's format.
     fn write_era(era: Era, head: &mut HeaderMap);
 
-    /// Reads the answer to a listing, which was given in `era`.
+    /// Decodes the answer to a listing, which was given in `era`.
     ///
     /// # Errors
     ///
-    /// Returns why the whole answer can't be read.
+    /// Returns an error if the answer as a whole can't be decoded.
     fn parse_listing(kind: Kind, era: Era, body: &[u8]) -> Result<Answer, Unreadable>;
 
-    /// Reads the answer to a watch, which was given in `era`.
+    /// Decodes the answer to a watch, which was given in `era`.
     ///
     /// # Errors
     ///
-    /// Returns why the whole answer can't be read.
+    /// Returns an error if the answer as a whole can't be decoded.
     fn parse_watch(kind: Kind, era: Era, body: &[u8]) -> Result<Answer, Unreadable>;
 }
 
-/// An answer to a watch, and how it was written.
+/// A decoded answer to a watch with its encoded form.
 #[derive(Debug)]
 pub struct WatchAnswer {
     /// The answer.
     pub answer: Answer,
-    /// The answer as the store wrote it, for others that need the same.
+    /// The body as the store encoded it, for forwarding to other entries.
     pub body: Bytes,
 }
 
-/// Why a call to the store failed.
+/// A failed call to the store.
 #[derive(Debug, Display, Error)]
 pub enum Error {
-    /// There was no answer; the call may have been done.
+    /// There was no answer; the call may have taken effect.
     #[display("{_0}")]
     Channel(channel::Error),
     /// The store refused the call.
     #[display("the store refused the call with {_0}")]
     Refused(#[error(not(source))] StatusCode),
-    /// The changes since the revision are no longer there.
-    #[display("the store no longer has the changes since then")]
+    /// The changes after the given position are no longer available.
+    #[display("the store no longer has the changes after the given position")]
     HistoryGone,
-    /// The answer can't be read.
+    /// The answer can't be decoded.
     #[display("unreadable answer: {_0}")]
     Unreadable(Unreadable),
-    /// The answer's era can't be read, so that nothing in it has a place.
+    /// The answer's era can't be decoded, so its positions can't be ordered.
     #[display("the answer's era can't be read")]
     EraUnreadable,
-    /// The answer is of an era that has ended: what it says may be gone.
+    /// The answer is of an era that has ended; its content may have been lost.
     #[display("the answer is of an era of the store that has ended")]
     EraEnded,
 }
 
-/// A connection to the store, opened when it is needed.
+/// A client of the store, which connects on demand.
 #[derive(Debug)]
 pub struct Store<C> {
     client: Client,
@@ -195,7 +195,7 @@
 }
 
 impl<C: Codec> Store<C> {
-    /// Creates a client of the store at `address`, which takes the eras of its answers into
+    /// Creates a client of the store at `address`, which records the eras of its answers in
     /// `eras`.
     #[must_use]
     pub const fn new(address: SocketAddr, eras: Rc<Eras>) -> Self {
@@ -206,31 +206,32 @@
         }
     }
 
-    /// Lists all objects of a kind, with the position that the list shows.
+    /// Lists all objects of a kind, with the position of the listing.
     ///
     /// # Errors
     ///
-    /// Returns why a call failed; [`Error::HistoryGone`] if the store came back from an older
-    /// copy between two pages.
+    /// Returns an error if a call failed; [`Error::HistoryGone`] if the store was restored
+    /// from an older copy between two pages.
     pub async fn list(&mut self, kind: Kind, stale: bool) -> Result<Answer, Error> {
-        let mut whole = self.page(kind, None, stale).await?;
-        while whole.more {
-            // One without a name can't be continued from.
+        let mut listing = self.page(kind, None, stale).await?;
+        while listing.more {
+            // A listing can't be continued after an object without a name.
             let named = |change: &&Change| !change.name.is_empty();
-            let after = whole.changes.iter().rfind(named);
+            let after = listing.changes.iter().rfind(named);
             let Some(after) = after.map(|change| change.name.clone()) else {
-                let detail = "a page without a name to go on from".to_owned();
+                let detail = "page without an object name to continue after".to_owned();
                 return Err(Error::Unreadable(Unreadable { kind, detail }));
             };
             let page = self.page(kind, Some(&after), stale).await?;
-            if page.position.era() != whole.position.era() {
+            if page.position.era() != listing.position.era() {
                 return Err(Error::HistoryGone);
             }
-            // Changes between two pages are seen by a watch from the first.
-            whole.more = page.more && !page.changes.is_empty();
-            whole.changes.extend(page.changes);
+            // A watch from the position of the first page returns changes made between two
+            // pages.
+            listing.more = page.more && !page.changes.is_empty();
+            listing.changes.extend(page.changes);
         }
-        Ok(whole)
+        Ok(listing)
     }
 
     async fn page(
@@ -247,8 +248,8 @@
     ///
     /// # Errors
     ///
-    /// Returns why the call failed; [`Error::HistoryGone`] asks for a new
-    /// listing.
+    /// Returns an error if the call failed; after [`Error::HistoryGone`] a new listing is
+    /// needed.
     pub async fn watch(
         &mut self,
         kind: Kind,
@@ -258,19 +259,19 @@
         let watched = self
             .watched(kind, C::watch(kind, from, wait), wait + CALL_TIMEOUT)
             .await?;
-        // The same revision stands for another change there.
+        // The same revision denotes another change in another era.
         if watched.answer.position.era() != from.era() {
             return Err(Error::HistoryGone);
         }
         Ok(watched)
     }
 
-    /// Asks another entry, which this client leads to, for the store's last answer on `kind`
-    /// that it hands out, in whichever era that was given.
+    /// Fetches the store's last answer on `kind` that another entry, at this client's
+    /// address, has cached. It may be of any era.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns an error if the entry has no answer or the call failed.
     pub async fn fetch_cached(&mut self, kind: Kind) -> Result<WatchAnswer, Error> {
         let call = C::watch(kind, Position::default(), Duration::ZERO);
         self.watched(kind, call, CALL_TIMEOUT).await
@@ -287,26 +288,26 @@
         Ok(WatchAnswer { answer, body })
     }
 
-    /// Makes an entry known, also if a former one stands there.
+    /// Registers an entry, replacing an earlier registration.
     ///
     /// # Errors
     ///
-    /// Returns why it could not be made known; it may be known all the same.
+    /// Returns an error if the call failed; the registration may have taken effect.
     pub async fn register(&mut self, entry: &Entry) -> Result<(), Error> {
         self.put(C::create(entry), C::replace(entry)).await
     }
 
-    /// Writes the record of an era in which an entry has proved the configuration.
+    /// Writes the record of an era in which an entry has confirmed the configuration.
     ///
     /// # Errors
     ///
-    /// Returns why it could not be written; it may be written all the same.
+    /// Returns an error if the call failed; the record may have been written.
     pub async fn write_settled_era(&mut self, era: Era) -> Result<(), Error> {
         self.put(C::create_settled_era(era), C::replace_settled_era(era))
             .await
     }
 
-    /// Creates an object, or replaces the one that stands there.
+    /// Creates an object, or replaces an existing one.
     async fn put(&mut self, create: Request<Bytes>, replace: Request<Bytes>) -> Result<(), Error> {
         match self.call(create, CALL_TIMEOUT).await {
             Err(Error::Refused(StatusCode::CONFLICT)) => {
@@ -316,38 +317,38 @@
         }
     }
 
-    /// Removes an entry.
+    /// Removes the registration of an entry.
     ///
     /// # Errors
     ///
-    /// Returns why it could not be removed; it may be removed all the same.
+    /// Returns an error if the call failed; the registration may have been removed.
     pub async fn deregister(&mut self, host: &str) -> Result<(), Error> {
         self.call(C::remove(host), CALL_TIMEOUT).await.map(drop)
     }
 
-    /// Writes the record of a held request.
+    /// Creates the record of a quarantined request.
     ///
     /// # Errors
     ///
-    /// Returns why it could not be written; it may be written all the same.
+    /// Returns an error if the call failed; the record may have been written.
     pub async fn create_quarantine(&mut self, record: &QuarantineRecord) -> Result<(), Error> {
         self.call(C::create_quarantine(record), CALL_TIMEOUT)
             .await
             .map(drop)
     }
 
-    /// Removes the record of a held request.
+    /// Removes the record of a quarantined request.
     ///
     /// # Errors
     ///
-    /// Returns why it could not be removed; it may be removed all the same.
+    /// Returns an error if the call failed; the record may have been removed.
     pub async fn remove_quarantine(&mut self, content: Content) -> Result<(), Error> {
         self.call(C::remove_quarantine(content), CALL_TIMEOUT)
             .await
             .map(drop)
     }
 
-    /// Makes a call; returns the body of a success and the era in which it was given.
+    /// Makes a call; returns the body of a successful answer and its era.
     async fn call(
         &mut self,
         request: Request<Bytes>,
--- a/crates/gateway/src/watcher.rs
+++ b/crates/gateway/src/watcher.rs
@@ -13,36 +13,35 @@
 use crate::listing;
 use crate::store::{Change, Codec, Error, Item, Kind, Store, WatchAnswer};
 
-/// The longest wait of one watch. A store that turns a host away may leave a
-/// watch hanging and the connection sound; calls that don't wait show that, so
-/// that this may be long: each watch is a call that is paid for.
+/// Maximum duration of one watch. A store that refuses a host may leave a watch hanging while
+/// the connection stays open. Calls that don't wait detect that, so watches may be long; each
+/// one is a billed call.
 const WATCH_MAX: Duration = Duration::from_secs(20);
-/// How long after its start an entry doesn't watch: until then it doesn't know
-/// the others, and all that start together would.
+/// Time after its start during which an entry doesn't watch. Until then it has not discovered
+/// the others, and all entries that start together would watch.
 const DISCOVERY_TIME: Duration = Duration::from_millis(1_500);
-/// How often an entry that is told by others looks whether it is to watch.
+/// Interval at which an entry that follows others checks whether it has to watch.
 const ROLE_CHECK_INTERVAL: Duration = Duration::from_millis(600);
-/// How often an entry that is told of evacuations by others looks whether they still confirm
-/// them.
+/// Interval at which an entry that follows others' reports of evacuations checks whether
+/// these still confirm its state.
 const CONFIRM_CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// The wait of a watch that is only to prove what is known.
+/// Wait time of a watch that only confirms the cached state.
 pub(crate) const NO_WAIT: Duration = Duration::from_millis(1);
-/// The least time between two watches of a kind. A watch returns with the
-/// first change, and when many endpoints come at once each would be a call of
-/// its own; within this time they come together. It is far below the time
-/// within which a change has to be in force.
+/// Minimum time between two watches of a kind. A watch returns with the first change, so many
+/// endpoints that register at once would cost a call each; within this time their changes
+/// arrive together. It is far below the time within which a change has to be in force.
 const WATCH_INTERVAL_MIN: Duration = Duration::from_millis(250);
-/// The time over which entries that hear of a newer configuration fetch it. One with 1,400
-/// routes has some 0.4 MB (worked out), which an entry's link of 40 Mbit/s carries in a tenth
-/// of a second; it has to be in force within two seconds.
+/// Time over which entries spread the fetch of a newer configuration. A configuration with
+/// 1,400 routes has about 0.4 MB, which an entry's link of 40 Mbit/s transfers in a tenth of
+/// a second; it has to be in force within two seconds.
 const FETCH_SPREAD: Duration = Duration::from_millis(400);
-/// The time over which entries list endpoints anew once the store came back from an older
-/// copy. With the time to notice it they are known within the three seconds that an entry has
-/// to know which have left, and 380 entries with a thousand endpoints stay within the calls
-/// that the store takes.
+/// Time over which entries spread the new listing of endpoints after the store was restored
+/// from an older copy. Including the time to detect the restore, they finish within the three
+/// seconds in which an entry has to observe which endpoints left, and 380 entries with a
+/// thousand endpoints stay within the store's rate of calls.
 const RELIST_SPREAD: Duration = Duration::from_secs(1);
 
-/// Follows the objects of `kind` for as long as the process lives.
+/// Follows the objects of `kind` until the process ends.
 pub(crate) async fn run<C: Codec>(shared: Rc<SharedState>, socket: Rc<UdpSocket>, kind: Kind) {
     let mut watching = shared.store::<C>();
     let mut follower = Follower::<C>::new(&shared, &socket, kind);
@@ -55,7 +54,7 @@
         match step {
             Ok(()) => {}
             Err(Error::HistoryGone) => {
-                tracing::info!(%kind, "changes are gone from the store, listing anew");
+                tracing::info!(%kind, "changes no longer available in the store, listing again");
                 shared.note_store_answer(kind, clock::now());
                 follower.listed = false;
             }
@@ -64,15 +63,15 @@
     }
 }
 
-/// Follows the objects of one kind: by a watch, if it is this entry that does so
-/// for its data centre, and else by what others tell.
+/// Follows the objects of one kind: by a watch if this entry watches on behalf of its data
+/// centre, and by reports of other entries otherwise.
 struct Follower<'a, C> {
     shared: &'a SharedState,
     socket: &'a UdpSocket,
     kind: Kind,
-    /// For calls that don't wait, while a watch may be waiting.
+    /// For calls that don't wait, while a watch may be in progress.
     store: Store<C>,
-    /// Whether the changes since what is known are to be had.
+    /// Whether the objects have been listed, so changes since then can be applied.
     listed: bool,
     started: Instant,
 }
@@ -89,7 +88,7 @@
         }
     }
 
-    /// Goes on from what is known, by one answer of the store or some time.
+    /// Continues from the cached position, until one answer of the store or a timeout.
     async fn follow(&mut self, watching: &mut Store<C>) -> Result<(), Error> {
         if self.kind != Kind::Configuration && self.is_outdated() {
             self.wait_for_relist_slot().await;
@@ -108,7 +107,7 @@
         }
     }
 
-    /// Tells whether this entry watches for others.
+    /// Returns whether this entry watches on behalf of its data centre.
     fn watches(&self) -> bool {
         match self.kind {
             Kind::Evacuations => self.shared.watches_evacuations(clock::now()),
@@ -116,15 +115,15 @@
         }
     }
 
-    /// Tells whether what is known was read in an era of the store that has ended, or may
-    /// have been.
+    /// Returns whether the cached state was read in an earlier era of the store, or may have
+    /// been.
     fn is_outdated(&self) -> bool {
         let eras = &self.shared.eras;
         self.known().era() != eras.current() || eras.is_in_doubt()
     }
 
-    /// Waits until it is this entry's turn to list what others list too: those that watch for
-    /// others go first.
+    /// Waits for this entry's turn to list again: the entries that watch on behalf of others
+    /// list first.
     async fn wait_for_relist_slot(&self) {
         if self.shared.watches(clock::now()) {
             return;
@@ -135,23 +134,23 @@
 
     async fn list(&mut self) -> Result<(), Error> {
         self.shared.wait_for_store_slot().await;
-        let asked = clock::now();
+        let sent_at = clock::now();
         let listing = self.store.list(self.kind, false).await?;
         let now = clock::now();
         self.shared.note_store_answer(self.kind, now);
         let position = listing.position;
         if position < self.known() {
-            // Others have told more meanwhile.
+            // Other entries have reported later changes in the meantime.
             return Ok(());
         }
         self.shared
             .replace(self.kind, listing.changes, position, now);
-        self.record_position(position, asked);
+        self.record_position(position, sent_at);
         self.listed = true;
         Ok(())
     }
 
-    /// Returns the position up to which the objects are known.
+    /// Returns the position up to which the cached objects are complete.
     fn known(&self) -> Position {
         match self.kind {
             Kind::Endpoints => self.shared.lag.progress().known(),
@@ -160,22 +159,22 @@
         }
     }
 
-    /// Notes that the objects are known up to `position`, by an answer to what
-    /// was asked at `asked`.
-    fn record_position(&self, position: Position, asked: Instant) {
+    /// Records that the cached objects are complete up to `position`, by an answer to a call
+    /// that was sent at `sent_at`.
+    fn record_position(&self, position: Position, sent_at: Instant) {
         match self.kind {
             Kind::Endpoints => self.shared.lag.advance(position),
-            Kind::Configuration => self.shared.confirm_configuration(position, asked),
+            Kind::Configuration => self.shared.confirm_configuration(position, sent_at),
             Kind::Entries => {}
             Kind::Evacuations => {
                 let mut evacuations = self.shared.evacuations.borrow_mut();
-                evacuations.confirm(position, asked);
+                evacuations.confirm(position, sent_at);
             }
         }
     }
 
-    /// Tells whether others have told all that is in an answer for the changes
-    /// after `from` up to `to`, and maybe more, which it would take back.
+    /// Returns whether reports of other entries already cover an answer with the changes
+    /// after `from` up to `to`. Applying the answer could then revert later changes.
     fn is_superseded(&self, from: Position, to: Position) -> bool {
         match self.kind {
             Kind::Endpoints => {
@@ -193,14 +192,14 @@
             self.listed = false;
             return Ok(());
         }
-        let (from, asked) = (self.known(), clock::now());
+        let (from, sent_at) = (self.known(), clock::now());
         let waiting = watching.watch(self.kind, from, WATCH_MAX);
         tokio::pin!(waiting);
         loop {
             tokio::select! {
                 answer = &mut waiting => {
-                    if self.apply(from, answer?, asked) {
-                        tokio::time::sleep(WATCH_INTERVAL_MIN.saturating_sub(asked.elapsed())).await;
+                    if self.apply(from, answer?, sent_at) {
+                        tokio::time::sleep(WATCH_INTERVAL_MIN.saturating_sub(sent_at.elapsed())).await;
                     }
                     return Ok(());
                 }
@@ -215,7 +214,7 @@
         }
     }
 
-    /// Waits for what others tell, and asks the store if they tell too little.
+    /// Waits for reports of other entries, and calls the store if they are incomplete.
     async fn follow_peers(&mut self) -> Result<(), Error> {
         if self.kind == Kind::Evacuations {
             return self.follow_peer_evacuations().await;
@@ -232,7 +231,8 @@
         }
     }
 
-    /// Waits for what others tell of evacuations, and asks the store if they confirm nothing.
+    /// Waits for reports of evacuations from other entries, and calls the store without a
+    /// recent confirmation.
     async fn follow_peer_evacuations(&mut self) -> Result<(), Error> {
         if self.shared.evacuations_need_confirmation(clock::now()) {
             return self.catch_up().await.map(drop);
@@ -244,16 +244,19 @@
         Ok(())
     }
 
-    /// Takes a newer configuration from the entry that has told of it; returns whether it
-    /// is known then. It proves nothing: proofs count for the version that they name.
+    /// Fetches a newer configuration from the entry that reported it; returns whether it is
+    /// cached afterwards. This confirms nothing: a confirmation counts for the version that
+    /// it names.
     async fn fetch_from_peer(&mut self) -> bool {
         let jitter: f64 = self.shared.rng.borrow_mut().random();
-        // Many hear of it at once, and those that have it by then pass it on as well.
+        // Many entries receive the report at once. Those that have fetched the configuration
+        // by the end of the delay serve it as well.
         tokio::time::sleep(FETCH_SPREAD.mul_f64(jitter)).await;
         let Some((version, from)) = self.shared.lag.newest() else {
             return false;
         };
-        // It may have been given in another era; of versions the larger is always the newer.
+        // The answer may be of another era, but the larger version number is always the newer
+        // configuration.
         let mut other = Store::<C>::new(from, Rc::default());
         match other.fetch_cached(self.kind).await {
             Ok(WatchAnswer { answer, body }) => {
@@ -272,20 +275,19 @@
         self.shared.has_version(version)
     }
 
-    /// Asks for the changes since what is known; returns whether there are any.
+    /// Calls the store for changes after the cached position; returns whether there are any.
     async fn catch_up(&mut self) -> Result<bool, Error> {
         if self.is_outdated() {
             self.listed = false;
             return Ok(false);
         }
-        let (from, asked) = (self.known(), clock::now());
+        let (from, sent_at) = (self.known(), clock::now());
         let answer = self.store.watch(self.kind, from, NO_WAIT).await?;
-        Ok(self.apply(from, answer, asked))
+        Ok(self.apply(from, answer, sent_at))
     }
 
-    /// Takes the changes after `from` and passes them on; returns whether there
-    /// are any.
-    fn apply(&mut self, from: Position, watched: WatchAnswer, asked: Instant) -> bool {
+    /// Applies the changes after `from` and forwards them; returns whether there are any.
+    fn apply(&mut self, from: Position, watched: WatchAnswer, sent_at: Instant) -> bool {
         let now = clock::now();
         self.shared.note_store_answer(self.kind, now);
         let WatchAnswer { answer, body } = watched;
@@ -297,7 +299,7 @@
         for change in answer.changes {
             self.shared.apply(self.kind, change, answer.position, now);
         }
-        self.record_position(answer.position, asked);
+        self.record_position(answer.position, sent_at);
         match self.kind {
             Kind::Endpoints if self.shared.watches(now) => {
                 let changes_for_peers =
@@ -318,8 +320,8 @@
     }
 }
 
-/// Waits for a sign that the store has objects of `kind` that aren't known, or that what is
-/// known has to be confirmed.
+/// Waits until the store has changes of `kind` that are not cached, or until the cached state
+/// has to be confirmed.
 async fn wait_for_changes(shared: &SharedState, kind: Kind) {
     match kind {
         Kind::Endpoints => shared.lag.wait_behind().await,
@@ -328,7 +330,7 @@
     }
 }
 
-/// Returns the endpoints in `changes`; what can't be read names none.
+/// Returns the endpoints in `changes`; an unreadable one counts as removed.
 fn endpoints(changes: &[Change]) -> Vec<(String, Option<Endpoint>)> {
     let endpoint = |change: &Change| match &change.item {
         Ok(Some(Item::Endpoint(endpoint))) => (change.name.clone(), Some(endpoint.clone())),
