--- a/crates/gateway/src/confirmation.rs
+++ b/crates/gateway/src/confirmation.rs
@@ -32,8 +32,8 @@
 
     /// Returns whether an answer of `era` to a call sent at `sent_at`, with nothing newer than
     /// the recorded version, confirms that the `known` version was the latest one at that
-    /// time. `unsettled_since` is the time since when the store has been in this era, if the era's
-    /// start may have lost data.
+    /// time. `unsettled_since` is the start of this era of the store, if data may have been
+    /// lost with it.
     #[must_use]
     pub fn confirms(
         &self,
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -16,7 +16,7 @@
 use crate::options::Options;
 use crate::store::{Codec, Kind};
 use crate::{
-    configuration_cache, listing, record, registration, reload, renewal, server, stop, tcp, watcher,
+    configuration_cache, gossip, record, registration, reload, renewal, server, stop, tcp, watcher,
 };
 
 /// An error that stops an entry.
@@ -139,7 +139,7 @@
             Rc::clone(&shared),
             configurations,
         ));
-        tokio::task::spawn_local(listing::run(Rc::clone(&shared), Rc::clone(&socket)));
+        tokio::task::spawn_local(gossip::run(Rc::clone(&shared), Rc::clone(&socket)));
         Ok((shared, socket, closing))
     }
 }
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -44,7 +44,7 @@
     /// Number of entries that use the endpoint.
     pub(crate) sharers: u32,
     /// Ratio of its pass duration to the shortest of its service.
-    pub(crate) slower: f64,
+    pub(crate) pass_ratio: f64,
 }
 
 /// The endpoints in an entry's cached state.
@@ -57,9 +57,9 @@
     ranked: Vec<String>,
     /// The ranked services of which this entry uses only a subset of the endpoints, with a
     /// fingerprint of the entries and endpoints from which the subset was computed.
-    shared: Table<String, u64>,
+    subsets: Table<String, u64>,
     /// When the first missing endpoint is to be dropped.
-    expires: Option<Instant>,
+    next_expiry: Option<Instant>,
     terminated: Terminated,
     leaving_notices: LeavingNotices,
     limits: Limits,
@@ -78,8 +78,8 @@
             rows: Table::new(),
             routers: Table::new(),
             ranked: Vec::new(),
-            shared: Table::new(),
-            expires: None,
+            subsets: Table::new(),
+            next_expiry: None,
             terminated: Terminated::default(),
             leaving_notices: LeavingNotices::default(),
             limits: Limits::new(host),
@@ -155,7 +155,7 @@
         let service = endpoint.service.clone();
         let ranked = self.ranked.binary_search(&service).is_ok();
         // A new endpoint of a service with subsets is used only once it has been chosen.
-        let used = !self.shared.contains(&service);
+        let used = !self.subsets.contains(&service);
         let shares_limit = self.limits.shares(&endpoint.instance);
         let id = endpoint.id.clone();
         let row = self
@@ -171,7 +171,7 @@
     /// Drops the endpoints that are still missing after an outage of the store; returns
     /// their names.
     pub(crate) fn expire(&mut self, now: Instant) -> Vec<String> {
-        if self.expires.is_none_or(|at| at > now) {
+        if self.next_expiry.is_none_or(|at| at > now) {
             return Vec::new();
         }
         let due = |row: &Row| row.missing_until.is_some_and(|until| until <= now);
@@ -184,7 +184,7 @@
         for id in &expired {
             self.end(id, now);
         }
-        self.expires = self.rows.values().filter_map(|row| row.missing_until).min();
+        self.next_expiry = self.rows.values().filter_map(|row| row.missing_until).min();
         expired
     }
 
@@ -295,12 +295,12 @@
         Some(LoadContext {
             slots,
             sharers: self.sharers(&service, entries),
-            slower: self.slower(&service, load.pass, now),
+            pass_ratio: self.pass_ratio(&service, load.pass, now),
         })
     }
 
     /// Returns the ratio of `pass`, in milliseconds, to the shortest pass of its service.
-    fn slower(&self, service: &str, pass: u16, now: Instant) -> f64 {
+    fn pass_ratio(&self, service: &str, pass: u16, now: Instant) -> f64 {
         let rows = self.rows.values();
         let passes = rows.filter(|row| row.endpoint.service == service);
         let passes = passes.filter_map(|row| row.pass(now));
--- a/crates/gateway/src/fleet/lives.rs
+++ b/crates/gateway/src/fleet/lives.rs
@@ -98,7 +98,7 @@
             };
             if let (Some(until), false) = (until, row.endpoint.leaving) {
                 row.missing_until = Some(until);
-                self.expires = Some(self.expires.map_or(until, |known| known.min(until)));
+                self.next_expiry = Some(self.next_expiry.map_or(until, |known| known.min(until)));
             } else {
                 self.end(&id, now);
             }
--- a/crates/gateway/src/fleet/sharing.rs
+++ b/crates/gateway/src/fleet/sharing.rs
@@ -22,14 +22,14 @@
         let lasting = |e: &&Endpoint| e.service == service && self.takes_new_work(e);
         let endpoints: Vec<_> = self.iter().filter(lasting).map(|e| e.id.as_str()).collect();
         let fingerprint = fingerprint(entries, &endpoints);
-        if self.shared.get(service) == Some(&fingerprint) {
+        if self.subsets.get(service) == Some(&fingerprint) {
             return;
         }
         let used = subset::used(me, entries, &endpoints).map(|used| {
             let id = |at: usize| endpoints[at].to_owned();
             used.into_iter().map(id).collect::<Vec<_>>()
         });
-        if used.is_none() && !self.shared.contains(service) {
+        if used.is_none() && !self.subsets.contains(service) {
             return;
         }
         tracing::info!(
@@ -40,8 +40,8 @@
             "endpoints to be used chosen"
         );
         match &used {
-            Some(_) => drop(self.shared.insert(service.to_owned(), fingerprint)),
-            None => drop(self.shared.remove(service)),
+            Some(_) => drop(self.subsets.insert(service.to_owned(), fingerprint)),
+            None => drop(self.subsets.remove(service)),
         }
         let rows = self.rows.iter_mut().map(|(_, row)| row);
         for row in rows.filter(|row| row.endpoint.service == service) {
@@ -54,7 +54,7 @@
 
     /// Returns how many of `entries` use each endpoint of a service.
     pub(crate) fn sharers(&self, service: &str, entries: u32) -> u32 {
-        if !self.shared.contains(service) {
+        if !self.subsets.contains(service) {
             return entries;
         }
         let own = |endpoint: &&Endpoint| endpoint.service == service;
--- a/crates/gateway/src/listing.rs
+++ b/crates/gateway/src/gossip.rs
@@ -60,7 +60,7 @@
     let now = clock::now();
     match datagram::decode(bytes) {
         Ok(Datagram::Subscribe) => {
-            tracing::debug!(%from, "load subscription ignored, this is an entry")
+            tracing::debug!(%from, "unexpected load subscription")
         }
         Ok(Datagram::Ask {
             entry,
@@ -124,7 +124,7 @@
     let Some(LoadContext {
         slots,
         sharers,
-        slower,
+        pass_ratio,
     }) = context
     else {
         return;
@@ -137,7 +137,7 @@
         },
         slots,
         total: Load {
-            requests: load.requests + slow_group_penalty(slots, slower),
+            requests: load.requests + slow_group_penalty(slots, pass_ratio),
             backlog: 0,
         },
         mine: None,
@@ -148,15 +148,15 @@
 }
 
 /// Returns the number of requests by which an endpoint's load is raised because the
-/// passes of its group are `slower` than those of the fastest group: requests there wait
-/// for the group's other ranks.
+/// passes of its group are `pass_ratio` times as long as those of the fastest group:
+/// requests there wait for the group's other ranks.
 #[expect(
     clippy::cast_possible_truncation,
     clippy::cast_sign_loss,
     reason = "a part of the slots"
 )]
-fn slow_group_penalty(slots: u32, slower: f64) -> u32 {
-    let part = (slower - 1.0).clamp(0.0, 1.0);
+fn slow_group_penalty(slots: u32, pass_ratio: f64) -> u32 {
+    let part = (pass_ratio - 1.0).clamp(0.0, 1.0);
     (f64::from(slots) * part).round() as u32
 }
 
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -81,8 +81,7 @@
     applied_era: Cell<Era>,
     /// Until when no answer of the store can confirm the configuration.
     unconfirmed_until: Cell<Option<Instant>>,
-    /// Notified when an answer does not confirm the configuration because the store's era
-    /// may be unsettled.
+    /// Notified when an answer confirms nothing because the store's era may be unsettled.
     pub(crate) unsettled: Notify,
     reported: RefCell<ReportedErrors>,
     /// The requests during which endpoints have crashed.
@@ -254,16 +253,15 @@
                 }
             }
             Ok(Some(Item::Entry(entry))) => self.peers.borrow_mut().insert(entry),
-            Ok(Some(Item::QuarantineRecord(hold))) => self.apply_quarantine_record(&hold, now),
+            Ok(Some(Item::QuarantineRecord(record))) => self.apply_quarantine_record(&record, now),
             Ok(Some(Item::SettledEra(era))) => self.apply_settled_era(era, now),
             Ok(Some(Item::Evacuation)) => self.set_evacuated(&name, true, now),
             Ok(None) => self.forget(kind, &name, position, now),
         }
     }
 
-    /// Handles an object that can't be read, since another writer may write invalid ones.
-    /// An unreadable endpoint or entry is not used; an unreadable configuration leaves the
-    /// last valid one in force.
+    /// Handles an unreadable object, which another writer may have written. An endpoint or
+    /// entry is then not used; of configurations the last valid one stays in force.
     fn report_unreadable(
         &self,
         kind: Kind,
@@ -349,8 +347,7 @@
         self.peers.borrow().ready_before(now) == 0
     }
 
-    /// Drops the endpoints that did not register again after an outage of the store, and
-    /// settles deferred registrations.
+    /// Settles deferred registrations, and drops endpoints still missing after an outage.
     pub(crate) fn drop_missing(&self, now: Instant) {
         self.fleet.borrow_mut().settle(now);
         for endpoint in self.fleet.borrow_mut().expire(now) {
--- a/crates/gateway/src/notifications.rs
+++ b/crates/gateway/src/notifications.rs
@@ -10,9 +10,9 @@
 use tokio::sync::Notify;
 
 use crate::content::Content;
+use crate::gossip;
 use crate::journal::millis;
 use crate::knowledge::SharedState;
-use crate::listing;
 use crate::peer::{self, Datagram};
 use crate::quarantine::Crash;
 use cactusnotch_throttle::Rate;
@@ -145,7 +145,7 @@
         }
         let datagram = due.notification.datagram(now);
         for entry in audience(shared, due.audience) {
-            listing::send(socket, &datagram, entry);
+            gossip::send(socket, &datagram, entry);
         }
         (due.times, due.sent) = (due.times - 1, true);
         if due.times > 0 {
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -9,8 +9,8 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
+use crate::gossip;
 use crate::knowledge::SharedState;
-use crate::listing;
 use crate::store::Codec;
 
 /// How long requests are still taken after a stop was asked for: some callers
@@ -42,7 +42,7 @@
     let options = shared.options();
     shared.stopping.set(Some(began));
     tracing::info!(in_flight = shared.in_flight.get(), "stop asked for");
-    listing::announce_stop(&shared, &socket);
+    gossip::announce_stop(&shared, &socket);
     tokio::task::spawn_local(withdraw::<C>(Rc::clone(&shared)));
     tokio::time::sleep(FAREWELL.min(options.grace / 2)).await;
     shared.closing.set(true);
--- a/crates/gateway/src/watcher.rs
+++ b/crates/gateway/src/watcher.rs
@@ -9,8 +9,8 @@
 use tokio::net::UdpSocket;
 
 use crate::endpoint::Endpoint;
+use crate::gossip;
 use crate::knowledge::SharedState;
-use crate::listing;
 use crate::store::{Change, Codec, Error, Item, Kind, Store, WatchAnswer};
 
 /// Maximum duration of one watch. A store that refuses a host may leave a watch hanging while
@@ -268,7 +268,7 @@
                 self.shared.configuration_cache.set(era, body);
                 let position = self.shared.position.get().newest(answer.position);
                 self.shared.position.set(position);
-                listing::announce(self.shared, self.socket);
+                gossip::announce(self.shared, self.socket);
             }
             Err(error) => tracing::info!(%from, %error, "configuration not had from another entry"),
         }
@@ -305,15 +305,15 @@
                 let changes_for_peers =
                     self.shared
                         .changes_for_peers(from, answer.position, endpoints, now);
-                listing::pass_on(self.shared, self.socket, changes_for_peers);
+                gossip::pass_on(self.shared, self.socket, changes_for_peers);
             }
             Kind::Configuration if changed => {
                 self.shared
                     .configuration_cache
                     .set(answer.position.era(), body);
-                listing::announce(self.shared, self.socket);
+                gossip::announce(self.shared, self.socket);
             }
-            Kind::Evacuations if changed => listing::announce(self.shared, self.socket),
+            Kind::Evacuations if changed => gossip::announce(self.shared, self.socket),
             _ => {}
         }
         changed
