--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -59,9 +59,7 @@
 fn handle(shared: &SharedState, socket: &UdpSocket, bytes: &[u8], from: SocketAddr) {
     let now = clock::now();
     match datagram::decode(bytes) {
-        Ok(Datagram::Subscribe) => {
-            tracing::debug!(%from, "unexpected load subscription")
-        }
+        Ok(Datagram::Subscribe) => tracing::debug!(%from, "unexpected load subscription"),
         Ok(Datagram::Ask {
             entry,
             ready,
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -53,7 +53,7 @@
 impl Link {
     /// Returns how long to wait before the store may be called, or `None` if it may be
     /// called now. `None` reserves the call for this task: others have to wait for its
-    /// result or for [`CALL_TIMEOUT`].
+    /// result or its timeout.
     pub fn wait(&mut self, now: Instant) -> Option<Duration> {
         self.lost?;
         let left = self.next.map(|at| at.saturating_duration_since(now));
