--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -39,9 +39,7 @@
 /// What a load report is combined with to update the router.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct LoadContext {
-    /// Number of requests that the endpoint runs concurrently.
     pub(crate) slots: u32,
-    /// Number of entries that use the endpoint.
     pub(crate) sharers: u32,
     /// Ratio of its pass duration to the shortest of its service.
     pub(crate) pass_ratio: f64,
@@ -65,9 +63,7 @@
     limits: Limits,
     rests: Rests,
     cold: Cold,
-    /// The warm-up limits by service.
     cold_starts: Table<String, ColdStart>,
-    /// The data centres whose endpoints get no requests.
     evacuated: Vec<String>,
 }
 
@@ -90,7 +86,6 @@
         }
     }
 
-    /// Applies the services of a configuration.
     pub(crate) fn configure(&mut self, services: &[Service], now: Instant) {
         self.routers
             .retain(|name, _| services.iter().any(|service| service.name == *name));
@@ -246,14 +241,12 @@
         Ok((choice, attempt))
     }
 
-    /// Records the first piece of an answer.
     pub(crate) fn first_piece(&mut self, service: &str, attempt: &mut Attempt, now: Instant) {
         if let Some(router) = self.routers.get_mut(service) {
             router.first_piece(attempt, now);
         }
     }
 
-    /// Records the end of an attempt.
     pub(crate) fn finish(
         &mut self,
         service: &str,
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -90,11 +90,11 @@
     /// Records that the store answered another entry of the data centre again at
     /// `returned`; returns whether this entry had lost the store before that.
     pub fn note_return(&mut self, returned: Instant) -> bool {
-        let heard = self.lost.is_some_and(|lost| lost < returned);
-        if heard {
+        let had_lost = self.lost.is_some_and(|lost| lost < returned);
+        if had_lost {
             self.answer(returned);
         }
-        heard
+        had_lost
     }
 
     /// Records an answer; returns for how long the store was lost, `None` if it was not.
