--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -249,6 +249,6 @@
     routes
         .iter()
         .filter(leads)
-        .filter_map(|route| route.pause)
+        .filter_map(|route| route.max_event_gap)
         .min()
 }
--- a/crates/gateway/src/entry.rs
+++ b/crates/gateway/src/entry.rs
@@ -97,15 +97,15 @@
         let Options {
             listen: front,
             readiness,
-            directory,
+            resolver,
             metrics,
             peers,
             ..
         } = self.options;
-        let (callers, readiness, directory, metrics, configurations) = (
+        let (callers, readiness, resolver, metrics, configurations) = (
             listen(front)?,
             listen(readiness)?,
-            listen(directory)?,
+            listen(resolver)?,
             listen(metrics)?,
             listen(peers)?,
         );
@@ -119,7 +119,7 @@
         tracing::info!(host = self.options.host, data_centre = self.options.data_centre, listen = %front, "entry started");
         let shared = Rc::new(SharedState::new(self.options));
         let (closing, closed) = watch::channel(false);
-        let followed = shared.options().evacuation.map(|_| Kind::Evacuations);
+        let followed = shared.options().evacuation_bound.map(|_| Kind::Evacuations);
         for kind in [Kind::Configuration, Kind::Endpoints]
             .into_iter()
             .chain(followed)
@@ -132,8 +132,8 @@
         tokio::task::spawn_local(registration::run::<C>(Rc::clone(&shared)));
         tokio::task::spawn_local(record::run::<C>(Rc::clone(&shared)));
         tokio::task::spawn_local(server::callers::<D>(Rc::clone(&shared), callers, closed));
-        tokio::task::spawn_local(server::questions::<D>(Rc::clone(&shared), readiness));
-        tokio::task::spawn_local(server::questions::<D>(Rc::clone(&shared), directory));
+        tokio::task::spawn_local(server::queries::<D>(Rc::clone(&shared), readiness));
+        tokio::task::spawn_local(server::queries::<D>(Rc::clone(&shared), resolver));
         tokio::task::spawn_local(server::metrics(self.exporter, metrics));
         tokio::task::spawn_local(configuration_cache::run::<C>(
             Rc::clone(&shared),
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -30,7 +30,7 @@
 use crate::configuration::{ColdStart, Service};
 use crate::endpoint::Endpoint;
 use crate::peer::Load;
-use cactusnotch_throttle::{Cold, Limits, Rests, Tolerance};
+use cactusnotch_throttle::{Backoffs, Limits, Tolerance, Warmups};
 
 /// Streams are moved away from stragglers only while these are at most one in this many of
 /// the service's endpoints: the others need room for the moved streams.
@@ -61,8 +61,8 @@
     terminated: Terminated,
     leaving_notices: LeavingNotices,
     limits: Limits,
-    rests: Rests,
-    cold: Cold,
+    rests: Backoffs,
+    cold: Warmups,
     cold_starts: Table<String, ColdStart>,
     evacuated: Vec<String>,
 }
@@ -79,8 +79,8 @@
             terminated: Terminated::default(),
             leaving_notices: LeavingNotices::default(),
             limits: Limits::new(host),
-            rests: Rests::default(),
-            cold: Cold::new(cold, host),
+            rests: Backoffs::default(),
+            cold: Warmups::new(cold, host),
             cold_starts: Table::new(),
             evacuated: Vec::new(),
         }
@@ -230,7 +230,7 @@
             prefix: &[],
             tried: criteria.tried,
             may_probe: criteria.may_probe,
-            within: criteria.within,
+            allowed_data_centres: criteria.within,
         };
         let router = self
             .routers
@@ -346,7 +346,7 @@
         let name = name::Endpoint::new(row.endpoint.id.clone());
         let takes_work = self.takes_new_work(&row.endpoint);
         if let Some(router) = self.routers.get_mut(&row.endpoint.service) {
-            router.report(&name, report, now);
+            router.apply_report(&name, report, now);
             if takes_work {
                 router.set_state(&name, report.state);
             }
--- a/crates/gateway/src/fleet/exclusion.rs
+++ b/crates/gateway/src/fleet/exclusion.rs
@@ -53,16 +53,16 @@
         if let Some(exclusion) = self.exclusion(endpoint, now) {
             return Err(exclusion);
         }
-        self.limits.send(instance, now);
-        self.cold.send(instance, now);
-        self.rests.send(instance, now);
+        self.limits.record_send(instance, now);
+        self.cold.record_send(instance, now);
+        self.rests.record_send(instance, now);
         self.withhold(&endpoint.service, &endpoint.id, instance);
         Ok(())
     }
 
     /// Returns why an endpoint currently gets no requests, `None` if it does get them.
     fn exclusion(&self, endpoint: &Endpoint, now: Instant) -> Option<Exclusion> {
-        let holds = |withheld: Option<Withheld>| withheld.is_some_and(|w| w.holds(now));
+        let holds = |withheld: Option<Withheld>| withheld.is_some_and(|w| w.is_active(now));
         let instance = endpoint.instance.as_str();
         if self.is_evacuated(endpoint) {
             Some(Exclusion::Evacuated)
@@ -115,7 +115,7 @@
 
     /// Returns the number of endpoints in back-off.
     pub(crate) fn resting(&self, now: Instant) -> usize {
-        self.rests.resting(now)
+        self.rests.active(now)
     }
 
     /// Returns until when an endpoint gets no requests, by all of its limits.
--- a/crates/gateway/src/fleet/options.rs
+++ b/crates/gateway/src/fleet/options.rs
@@ -48,7 +48,7 @@
     options.base_time = pass;
     options.token_time = Duration::from_secs_f64(1.0 / engine.read_rate.max(1.0));
     options.report_half_life = REPORT_HALF_LIFE;
-    options.silence = Some(UNRESPONSIVE_TIME);
+    options.report_timeout = Some(UNRESPONSIVE_TIME);
 }
 
 /// Half-life of a load report's weight; agents send four per second.
--- a/crates/gateway/src/fleet/row.rs
+++ b/crates/gateway/src/fleet/row.rs
@@ -5,7 +5,7 @@
 use cactusnotch_base::clock::Instant;
 
 use crate::endpoint::Endpoint;
-use crate::pace::Pace;
+use crate::pace::Slowdown;
 use crate::peer::Load;
 
 /// How long a reported pass duration is valid; agents send four reports per second.
@@ -29,7 +29,7 @@
     /// The duration of its group's passes, with the time of the report.
     pass: Option<(Duration, Instant)>,
     /// Its slowdown, as reported with the pass duration.
-    pace: Pace,
+    pace: Slowdown,
     /// Whether its group accepts requests, as reported with the pass duration.
     open: bool,
     /// Until when the first report of its agent is awaited, `None` once one was received.
@@ -51,7 +51,7 @@
             endpoint,
             used,
             pass: None,
-            pace: Pace::default(),
+            pace: Slowdown::default(),
             open: true,
             agent_awaited_until: ranked.then(|| now + AGENT_WAIT_TIME),
             earlier_start: None,
--- a/crates/gateway/src/fleet/statements.rs
+++ b/crates/gateway/src/fleet/statements.rs
@@ -6,8 +6,8 @@
 
 use super::Fleet;
 use crate::endpoint::Endpoint;
-use cactusnotch_throttle::limits::{Change, Word};
-use cactusnotch_throttle::{Stated, Statement};
+use cactusnotch_throttle::limits::{Change, Report};
+use cactusnotch_throttle::{Header, Headers};
 
 /// How an answer has changed the cached state of its endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
@@ -28,21 +28,23 @@
     pub(crate) fn apply_statement(
         &mut self,
         endpoint: &Endpoint,
-        statement: &Statement,
+        statement: &Headers,
         ran: bool,
         sent: Instant,
         now: Instant,
     ) -> Update {
         let instance = endpoint.instance.as_str();
         let mut update = Update {
-            limit: self.limits.take(instance, statement, ran, sent, now),
+            limit: self
+                .limits
+                .apply_headers(instance, statement, ran, sent, now),
             leaves: statement.leaving && self.record_leaving(endpoint, now),
             ..Update::default()
         };
-        match statement.rest {
-            Stated::Value(rest) => update.back_off = self.rests.ask(instance, rest, now),
-            Stated::Nothing => update.is_back_off_over = self.rests.answer(instance, sent),
-            Stated::Unreadable => {}
+        match statement.backoff {
+            Header::Value(rest) => update.back_off = self.rests.request(instance, rest, now),
+            Header::Absent => update.is_back_off_over = self.rests.record_answer(instance, sent),
+            Header::Invalid => {}
         }
         if update != Update::default() {
             self.refresh_withheld(instance);
@@ -51,16 +53,16 @@
     }
 
     /// Applies another entry's report of an endpoint's rate limit.
-    pub(crate) fn apply_limit_report(&mut self, report: &Word, now: Instant) -> Option<Change> {
+    pub(crate) fn apply_limit_report(&mut self, report: &Report, now: Instant) -> Option<Change> {
         let limits = &mut self.limits;
-        let change = limits.hear(&report.endpoint, report.limit, report.at, now)?;
+        let change = limits.apply_report(&report.endpoint, report.limit, report.at, now)?;
         self.refresh_withheld(&report.endpoint);
         Some(change)
     }
 
     /// Returns the rate limits to report to other entries.
-    pub(crate) fn limit_reports(&self, now: Instant) -> impl Iterator<Item = Word> {
-        self.limits.words(now)
+    pub(crate) fn limit_reports(&self, now: Instant) -> impl Iterator<Item = Report> {
+        self.limits.reports(now)
     }
 
     /// Sets the hosts of all entries, among which rate limits are divided.
--- a/crates/gateway/src/knowledge/evacuations.rs
+++ b/crates/gateway/src/knowledge/evacuations.rs
@@ -24,7 +24,7 @@
 impl SharedState {
     /// Returns whether evacuations are followed but have not been read yet.
     pub(crate) fn lacks_evacuations(&self) -> bool {
-        self.options.borrow().evacuation.is_some() && !self.evacuations.borrow().are_known()
+        self.options.borrow().evacuation_bound.is_some() && !self.evacuations.borrow().are_known()
     }
 
     /// Returns the time between two confirmations at the entry that watches evacuations.
@@ -39,7 +39,7 @@
     }
 
     fn evacuation_part(&self, part: f64) -> Duration {
-        let bound = self.options.borrow().evacuation.unwrap_or_default();
+        let bound = self.options.borrow().evacuation_bound.unwrap_or_default();
         bound.mul_f64(part)
     }
 
--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -7,15 +7,15 @@
 use rand::seq::IteratorRandom;
 
 use super::SharedState;
-use crate::dialect::Verdict;
+use crate::dialect::ResponseInfo;
 use crate::endpoint::Endpoint;
 use crate::fleet::{Exclusions, Update};
 use crate::journal::millis;
 use crate::notifications::Notification;
 use cactusnotch_throttle::Rate;
 use cactusnotch_throttle::allotment;
-use cactusnotch_throttle::limits::{Change, Word};
-use cactusnotch_throttle::{Stated, Statement};
+use cactusnotch_throttle::limits::{Change, Report};
+use cactusnotch_throttle::{Header, Headers};
 
 /// Limit of rate-limit reports in a datagram. With about 50 bytes each, one datagram per half
 /// second takes a quarter of an entry's budget for control traffic.
@@ -27,21 +27,21 @@
     pub(crate) fn apply_statement(
         &self,
         endpoint: &Endpoint,
-        verdict: &Verdict,
+        info: &ResponseInfo,
         sent: Option<Instant>,
         now: Instant,
     ) {
-        self.warn_unreadable(endpoint, &verdict.statement);
-        let ran = verdict.signed && !verdict.refused && !verdict.foreign;
+        self.warn_unreadable(endpoint, &info.statement);
+        let ran = info.signed && !info.refused && !info.foreign;
         let sent = sent.unwrap_or(now);
         let mut fleet = self.fleet.borrow_mut();
-        let update = fleet.apply_statement(endpoint, &verdict.statement, ran, sent, now);
+        let update = fleet.apply_statement(endpoint, &info.statement, ran, sent, now);
         drop(fleet);
-        log_update(endpoint, &update, &verdict.statement);
+        log_update(endpoint, &update, &info.statement);
         let Some(change) = update.limit else {
             return;
         };
-        let report = Word {
+        let report = Report {
             endpoint: endpoint.instance.clone(),
             limit: change.after,
             at: if change.after.is_some() { now } else { sent },
@@ -54,7 +54,7 @@
     }
 
     /// Applies other entries' reports of endpoints' rate limits.
-    pub(crate) fn apply_limit_reports(&self, reports: &[Word], now: Instant) {
+    pub(crate) fn apply_limit_reports(&self, reports: &[Report], now: Instant) {
         for report in reports {
             let change = self.fleet.borrow_mut().apply_limit_report(report, now);
             if let Some(change) = change {
@@ -128,7 +128,7 @@
         self.gauge(now);
     }
 
-    fn log_limit(&self, report: &Word, change: Change, source: &str, now: Instant) {
+    fn log_limit(&self, report: &Report, change: Change, source: &str, now: Instant) {
         let ago = millis(now.saturating_duration_since(report.at));
         let rate = |limit: Option<Rate>| limit.map(Rate::per_second);
         let (before, limit) = (rate(change.before), rate(change.after));
@@ -146,9 +146,9 @@
     }
 
     /// Logs an unreadable value in a self-report, once per endpoint and value.
-    fn warn_unreadable(&self, endpoint: &Endpoint, statement: &Statement) {
-        let limit = (statement.limit == Stated::Unreadable).then_some("limit");
-        let rest = (statement.rest == Stated::Unreadable).then_some("rest");
+    fn warn_unreadable(&self, endpoint: &Endpoint, statement: &Headers) {
+        let limit = (statement.limit == Header::Invalid).then_some("limit");
+        let rest = (statement.backoff == Header::Invalid).then_some("rest");
         for what in limit.into_iter().chain(rest) {
             if self.reported.borrow_mut().is_new(&endpoint.instance, what) {
                 let endpoint = endpoint.id.as_str();
@@ -171,12 +171,12 @@
 }
 
 /// Logs the changes of an endpoint's back-off and leaving state.
-fn log_update(endpoint: &Endpoint, update: &Update, statement: &Statement) {
+fn log_update(endpoint: &Endpoint, update: &Update, statement: &Headers) {
     let endpoint = endpoint.id.as_str();
     if let Some(rest) = update.back_off {
-        let asked_ms = match statement.rest {
-            Stated::Value(asked) => Some(millis(asked)),
-            Stated::Nothing | Stated::Unreadable => None,
+        let asked_ms = match statement.backoff {
+            Header::Value(asked) => Some(millis(asked)),
+            Header::Absent | Header::Invalid => None,
         };
         tracing::info!(
             endpoint,
--- a/crates/gateway/src/notifications.rs
+++ b/crates/gateway/src/notifications.rs
@@ -9,14 +9,14 @@
 use tokio::net::UdpSocket;
 use tokio::sync::Notify;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::gossip;
 use crate::journal::millis;
 use crate::knowledge::SharedState;
 use crate::peer::{self, Datagram};
 use crate::quarantine::Crash;
 use cactusnotch_throttle::Rate;
-use cactusnotch_throttle::limits::Word;
+use cactusnotch_throttle::limits::Report;
 
 /// Number of times that the entry that observed a crash sends it to all others, half a
 /// second apart. With a loss of one datagram in 30, one entry in 27,000 receives it only
@@ -30,13 +30,13 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Notification {
     /// An endpoint crashed while it ran a request.
-    Crash(Content, Crash),
+    Crash(Fingerprint, Crash),
     /// A request is quarantined until the given time.
-    Held(Content, Instant),
+    Held(Fingerprint, Instant),
     /// A request was served completely.
-    Served(Content),
+    Served(Fingerprint),
     /// Endpoints have these rate limits.
-    Limits(Vec<Word>),
+    Limits(Vec<Report>),
 }
 
 impl Notification {
@@ -55,7 +55,7 @@
             }),
             Self::Served(content) => Datagram::Served(*content),
             Self::Limits(reports) => {
-                let limit = |report: &Word| peer::Limit {
+                let limit = |report: &Report| peer::Limit {
                     endpoint: report.endpoint.clone(),
                     rate: report.limit.map(Rate::per_second),
                     ago: millis(now.saturating_duration_since(report.at)),
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -7,11 +7,11 @@
 use cactusnotch_derive::message;
 use cactusnotch_position::Position;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::endpoint::StartTime;
-use crate::{Endpoint, Pace};
+use crate::{Endpoint, Slowdown};
 use cactusnotch_throttle::Rate;
-use cactusnotch_throttle::limits::Word;
+use cactusnotch_throttle::limits::Report;
 
 /// The load of an endpoint, as measured by its agent.
 #[message]
@@ -29,7 +29,7 @@
     /// Share of the prompt memory that is in use, in thousandths.
     pub memory: u16,
     /// How slow the endpoint is.
-    pub pace: Pace,
+    pub pace: Slowdown,
 }
 
 /// The registration of an entry.
@@ -71,7 +71,7 @@
     /// An entry has quarantined a request.
     Held(Quarantined),
     /// A request was served completely that others may suspect or have quarantined.
-    Served(Content),
+    Served(Fingerprint),
     /// An entry reports rate limits of endpoints.
     Limits(Vec<Limit>),
 }
@@ -80,7 +80,7 @@
 #[message]
 pub struct Crash {
     /// Digest of the content that all attempts of the request have in common.
-    pub content: Content,
+    pub content: Fingerprint,
     /// The incarnation of the endpoint.
     pub endpoint: String,
     /// Time since the request was sent there, in milliseconds.
@@ -93,7 +93,7 @@
 #[message]
 pub struct Quarantined {
     /// Digest of the content that all attempts of the request have in common.
-    pub content: Content,
+    pub content: Fingerprint,
     /// Remaining time of the quarantine, in milliseconds.
     pub left: u32,
 }
@@ -112,12 +112,12 @@
 
 impl Limit {
     /// Returns the report, or `None` if its rate is invalid.
-    pub(crate) fn report(&self, now: Instant) -> Option<Word> {
+    pub(crate) fn report(&self, now: Instant) -> Option<Report> {
         let limit = match self.rate {
             Some(rate) => Some(Rate::new(rate)?),
             None => None,
         };
-        Some(Word {
+        Some(Report {
             endpoint: self.endpoint.clone(),
             limit,
             at: now.checked_sub(Duration::from_millis(self.ago.into()))?,
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -14,7 +14,7 @@
 use http::StatusCode;
 use tokio::sync::Notify;
 
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::knowledge::SharedState;
 use crate::store::{Codec, Error, Kind, QuarantineRecord, Store};
 
@@ -22,9 +22,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Write {
     /// Creates the record of a quarantined request.
-    Keep(Content),
+    Keep(Fingerprint),
     /// Removes the record of a quarantined request.
-    Erase(Content),
+    Erase(Fingerprint),
     /// Records that an era of the store has settled.
     Settle(Era),
 }
@@ -96,9 +96,9 @@
 async fn keep<C: Codec>(
     shared: &SharedState,
     store: &mut Store<C>,
-    content: Content,
+    content: Fingerprint,
 ) -> Result<(), Error> {
-    let left = shared.quarantine.borrow().holds(content, clock::now());
+    let left = shared.quarantine.borrow().time_left(content, clock::now());
     // It may have been cleared since the write was queued.
     let Some(left) = left else {
         return Ok(());
@@ -109,7 +109,7 @@
             .create_quarantine(&QuarantineRecord { content, until })
             .await,
     )?;
-    shared.quarantine.borrow_mut().check(content, true);
+    shared.quarantine.borrow_mut().note_record(content, true);
     Ok(())
 }
 
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -59,12 +59,12 @@
     let old = shared.options();
     let moved = old.listen != new.listen
         || old.readiness != new.readiness
-        || old.directory != new.directory
+        || old.resolver != new.resolver
         || old.peers != new.peers
         || old.metrics != new.metrics;
     if moved {
         tracing::warn!("new addresses are used from the next start on");
     }
-    tracing::info!(grace = ?new.grace, revocation = ?new.revocation, retry_ratio = new.retry_ratio, "settings reloaded");
+    tracing::info!(grace = ?new.grace, revocation = ?new.revocation_bound, retry_ratio = new.retry_ratio, "settings reloaded");
     shared.set_options(new);
 }
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -14,7 +14,7 @@
 
 use crate::channel;
 use crate::client::Client;
-use crate::content::Content;
+use crate::content::Fingerprint;
 use crate::peer::Entry;
 use crate::{Configuration, Endpoint};
 
@@ -66,7 +66,7 @@
 #[derive(Copy)]
 pub struct QuarantineRecord {
     /// Digest of the content that all attempts of the request have in common.
-    pub content: Content,
+    pub content: Fingerprint,
     /// The end of the quarantine, in wall-clock time: the record outlives any monotonic
     /// clock, and an error of seconds in an hour is harmless.
     pub until: SystemTime,
@@ -124,7 +124,7 @@
     fn create_quarantine(record: &QuarantineRecord) -> Request<Bytes>;
 
     /// Encodes the call that removes the record of a quarantined request.
-    fn remove_quarantine(content: Content) -> Request<Bytes>;
+    fn remove_quarantine(content: Fingerprint) -> Request<Bytes>;
 
     /// Encodes the call that creates the record of a settled era.
     fn create_settled_era(era: Era) -> Request<Bytes>;
@@ -342,7 +342,7 @@
     /// # Errors
     ///
     /// Returns an error if the call failed; the record may have been removed.
-    pub async fn remove_quarantine(&mut self, content: Content) -> Result<(), Error> {
+    pub async fn remove_quarantine(&mut self, content: Fingerprint) -> Result<(), Error> {
         self.call(C::remove_quarantine(content), CALL_TIMEOUT)
             .await
             .map(drop)
