--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -118,7 +118,9 @@
             return;
         }
         self.apply_quarantine(record.content, left, "the store has it on record", now);
-        self.quarantine.borrow_mut().note_record(record.content, true);
+        self.quarantine
+            .borrow_mut()
+            .note_record(record.content, true);
     }
 
     /// Writes the records of quarantined requests that are missing from the store. The first
