--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -61,14 +61,14 @@
     terminated: Terminated,
     leaving_notices: LeavingNotices,
     limits: Limits,
-    rests: Backoffs,
-    cold: Warmups,
+    backoffs: Backoffs,
+    warmups: Warmups,
     cold_starts: Table<String, ColdStart>,
     evacuated: Vec<String>,
 }
 
 impl Fleet {
-    pub(crate) fn new(host: &str, data_centre: &str, cold: Tolerance) -> Self {
+    pub(crate) fn new(host: &str, data_centre: &str, warm_up: Tolerance) -> Self {
         Self {
             data_centre: name::DataCentre::new(data_centre),
             rows: Table::new(),
@@ -79,8 +79,8 @@
             terminated: Terminated::default(),
             leaving_notices: LeavingNotices::default(),
             limits: Limits::new(host),
-            rests: Backoffs::default(),
-            cold: Warmups::new(cold, host),
+            backoffs: Backoffs::default(),
+            warmups: Warmups::new(warm_up, host),
             cold_starts: Table::new(),
             evacuated: Vec::new(),
         }
--- a/crates/gateway/src/fleet/cold.rs
+++ b/crates/gateway/src/fleet/cold.rs
@@ -44,7 +44,7 @@
     /// the registered one: the endpoint has just restarted, whatever its next registration
     /// says.
     pub(super) fn note_later_start(&mut self, endpoint: &Endpoint, load: &Load, now: Instant) {
-        if load.born <= endpoint.born || self.is_cold(&endpoint.instance) {
+        if load.born <= endpoint.born || self.is_warming_up(&endpoint.instance) {
             return;
         }
         if let Some(ColdStart { time, .. }) = self.cold_starts.get(&endpoint.service).copied() {
@@ -54,20 +54,20 @@
 
     /// Ends the warm-up of endpoints whose time is over.
     pub(super) fn expire_cold_starts(&mut self, now: Instant) {
-        for instance in self.cold.expire(now) {
+        for instance in self.warmups.expire(now) {
             tracing::info!(endpoint = instance, source = "its time", "endpoint is warm");
             self.refresh_withheld(&instance);
         }
     }
 
     /// Returns the number of endpoints that are warming up.
-    pub(crate) fn cold(&self) -> usize {
-        self.cold.len()
+    pub(crate) fn warming_up(&self) -> usize {
+        self.warmups.len()
     }
 
     /// Returns whether an endpoint is warming up.
-    pub(super) fn is_cold(&self, instance: &str) -> bool {
-        self.cold.rate(instance).is_some()
+    pub(super) fn is_warming_up(&self, instance: &str) -> bool {
+        self.warmups.rate(instance).is_some()
     }
 
     fn begin_cold_start(
@@ -81,13 +81,13 @@
             return;
         };
         let instance = endpoint.instance.as_str();
-        if self.cold.begin(instance, left, rate, now) {
+        if self.warmups.begin(instance, left, rate, now) {
             tracing::info!(
                 endpoint = endpoint.id,
                 rate = Rate::per_second(rate),
                 ms = millis(left),
                 source,
-                shared = self.cold.shares(instance),
+                shared = self.warmups.shares(instance),
                 "endpoint is cold"
             );
             self.refresh_withheld(instance);
@@ -95,7 +95,7 @@
     }
 
     fn end_cold_start(&mut self, instance: &str, source: &str, now: Instant) {
-        if self.cold.end(instance, now) {
+        if self.warmups.end(instance, now) {
             tracing::info!(endpoint = instance, source, "endpoint is warm");
             self.refresh_withheld(instance);
         }
--- a/crates/gateway/src/fleet/exclusion.rs
+++ b/crates/gateway/src/fleet/exclusion.rs
@@ -18,14 +18,14 @@
     #[display("the endpoint's data centre is evacuated")]
     Evacuated,
     /// The endpoint has asked for a back-off.
-    #[display("the endpoint rests")]
-    Resting,
+    #[display("the endpoint backoffs")]
+    BackingOff,
     /// This entry has used its allotment of the endpoint's rate limit.
     #[display("the endpoint is at its limit")]
     Limited,
     /// This entry has used its allotment of the endpoint's warm-up limit.
     #[display("the endpoint is cold and takes no more")]
-    Cold,
+    WarmingUp,
 }
 
 /// Counts of a service's endpoints that currently get no requests.
@@ -54,8 +54,8 @@
             return Err(exclusion);
         }
         self.limits.record_send(instance, now);
-        self.cold.record_send(instance, now);
-        self.rests.record_send(instance, now);
+        self.warmups.record_send(instance, now);
+        self.backoffs.record_send(instance, now);
         self.withhold(&endpoint.service, &endpoint.id, instance);
         Ok(())
     }
@@ -68,12 +68,12 @@
             Some(Exclusion::Evacuated)
         } else if !self.takes_work(&endpoint.id) {
             Some(Exclusion::Leaving)
-        } else if holds(self.rests.withheld(instance)) {
-            Some(Exclusion::Resting)
+        } else if holds(self.backoffs.withheld(instance)) {
+            Some(Exclusion::BackingOff)
         } else if holds(self.limits.withheld(instance)) {
             Some(Exclusion::Limited)
-        } else if holds(self.cold.withheld(instance)) {
-            Some(Exclusion::Cold)
+        } else if holds(self.warmups.withheld(instance)) {
+            Some(Exclusion::WarmingUp)
         } else {
             None
         }
@@ -85,17 +85,17 @@
         for endpoint in self.iter().filter(|endpoint| endpoint.service == service) {
             let instance = endpoint.instance.as_str();
             let limit = self.limits.rate(instance);
-            let limit = limit.or_else(|| self.cold.rate(instance));
+            let limit = limit.or_else(|| self.warmups.rate(instance));
             exclusions.rate += limit.map_or(0.0, Rate::per_second);
             match self.exclusion(endpoint, now) {
-                Some(Exclusion::Resting) => exclusions.resting += 1,
+                Some(Exclusion::BackingOff) => exclusions.resting += 1,
                 Some(Exclusion::Limited) => {
                     exclusions.limited += 1;
                     exclusions.shared += usize::from(self.limits.shares(instance));
                 }
-                Some(Exclusion::Cold) => {
+                Some(Exclusion::WarmingUp) => {
                     exclusions.cold += 1;
-                    exclusions.shared += usize::from(self.cold.shares(instance));
+                    exclusions.shared += usize::from(self.warmups.shares(instance));
                 }
                 Some(Exclusion::Leaving | Exclusion::Evacuated) | None => {}
             }
@@ -114,16 +114,16 @@
     }
 
     /// Returns the number of endpoints in back-off.
-    pub(crate) fn resting(&self, now: Instant) -> usize {
-        self.rests.active(now)
+    pub(crate) fn backing_off(&self, now: Instant) -> usize {
+        self.backoffs.active(now)
     }
 
     /// Returns until when an endpoint gets no requests, by all of its limits.
     pub(super) fn withheld(&self, instance: &str) -> Option<Withheld> {
         self.limits
             .withheld(instance)
-            .max(self.rests.withheld(instance))
-            .max(self.cold.withheld(instance))
+            .max(self.backoffs.withheld(instance))
+            .max(self.warmups.withheld(instance))
     }
 
     /// Updates the router with the time until which an endpoint gets no requests.
--- a/crates/gateway/src/fleet/statements.rs
+++ b/crates/gateway/src/fleet/statements.rs
@@ -15,9 +15,9 @@
     /// The change of its rate limit.
     pub(crate) limit: Option<Change>,
     /// The back-off that starts now.
-    pub(crate) back_off: Option<Duration>,
+    pub(crate) backoff: Option<Duration>,
     /// Whether its back-off has ended.
-    pub(crate) is_back_off_over: bool,
+    pub(crate) is_backoff_over: bool,
     /// Whether it has announced that it is leaving.
     pub(crate) leaves: bool,
 }
@@ -42,8 +42,8 @@
             ..Update::default()
         };
         match statement.backoff {
-            Header::Value(rest) => update.back_off = self.rests.request(instance, rest, now),
-            Header::Absent => update.is_back_off_over = self.rests.record_answer(instance, sent),
+            Header::Value(rest) => update.backoff = self.backoffs.request(instance, rest, now),
+            Header::Absent => update.is_backoff_over = self.backoffs.record_answer(instance, sent),
             Header::Invalid => {}
         }
         if update != Update::default() {
@@ -68,7 +68,7 @@
     /// Sets the hosts of all entries, among which rate limits are divided.
     pub(crate) fn set_entries(&mut self, entries: &[&str], now: Instant) {
         let limits = self.limits.set_entries(entries, now);
-        let cold = self.cold.set_entries(entries, now);
+        let cold = self.warmups.set_entries(entries, now);
         if limits || cold {
             self.refresh_all_withheld();
         }
@@ -78,9 +78,9 @@
     /// warm-up of endpoints whose time is over.
     pub(crate) fn expire_statements(&mut self, now: Instant) {
         let limits = self.limits.expire(now);
-        let rests = self.rests.expire(now);
+        let backoffs = self.backoffs.expire(now);
         self.expire_cold_starts(now);
-        if limits || rests {
+        if limits || backoffs {
             self.refresh_all_withheld();
         }
     }
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -158,7 +158,6 @@
         });
     }
 
-    /// Returns a client of the store.
     pub(crate) fn store<C: Codec>(&self) -> Store<C> {
         Store::new(self.options.borrow().store, Rc::clone(&self.eras))
     }
@@ -357,7 +356,6 @@
         }
     }
 
-    /// Chooses the endpoints of large services that this entry uses.
     fn choose_subsets(&self) {
         let peers = self.peers.borrow();
         let host = self.options.borrow().host.clone();
--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -165,15 +165,15 @@
         let fleet = self.fleet.borrow();
         let number = |endpoints: usize| u32::try_from(endpoints).unwrap_or(u32::MAX);
         metrics::gauge!(metric::GATEWAY_LIMITED).set(number(fleet.limited()));
-        metrics::gauge!(metric::GATEWAY_COLD).set(number(fleet.cold()));
-        metrics::gauge!(metric::GATEWAY_RESTING).set(number(fleet.resting(now)));
+        metrics::gauge!(metric::GATEWAY_COLD).set(number(fleet.warming_up()));
+        metrics::gauge!(metric::GATEWAY_RESTING).set(number(fleet.backing_off(now)));
     }
 }
 
 /// Logs the changes of an endpoint's back-off and leaving state.
 fn log_update(endpoint: &Endpoint, update: &Update, statement: &Headers) {
     let endpoint = endpoint.id.as_str();
-    if let Some(rest) = update.back_off {
+    if let Some(rest) = update.backoff {
         let asked_ms = match statement.backoff {
             Header::Value(asked) => Some(millis(asked)),
             Header::Absent | Header::Invalid => None,
@@ -185,7 +185,7 @@
             "endpoint asks for rest"
         );
     }
-    if update.is_back_off_over {
+    if update.is_backoff_over {
         tracing::info!(endpoint, "endpoint's rest is over");
     }
     if update.leaves {
--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -17,8 +17,8 @@
 use crate::store::QuarantineRecord;
 
 impl SharedState {
-    /// Returns for how much longer a request is quarantined, `None` if it is not. A
-    /// request's content is not computed while the quarantine is empty.
+    /// Returns for how much longer a request is quarantined, `None` if it is not. The
+    /// fingerprint is not computed while the quarantine is empty.
     pub(crate) fn quarantined_for(&self, call: &Call, now: Instant) -> Option<Duration> {
         let quarantine = self.quarantine.borrow();
         if quarantine.is_empty() {
--- a/crates/gateway/src/peer.rs
+++ b/crates/gateway/src/peer.rs
@@ -79,7 +79,7 @@
 /// The crash of an endpoint during a request that had produced no output yet.
 #[message]
 pub struct Crash {
-    /// Digest of the content that all attempts of the request have in common.
+    /// Fingerprint of the content that all attempts of the request have in common.
     pub content: Fingerprint,
     /// The incarnation of the endpoint.
     pub endpoint: String,
@@ -92,7 +92,7 @@
 /// A request that an entry has quarantined.
 #[message]
 pub struct Quarantined {
-    /// Digest of the content that all attempts of the request have in common.
+    /// Fingerprint of the content that all attempts of the request have in common.
     pub content: Fingerprint,
     /// Remaining time of the quarantine, in milliseconds.
     pub left: u32,
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -65,7 +65,7 @@
 #[record]
 #[derive(Copy)]
 pub struct QuarantineRecord {
-    /// Digest of the content that all attempts of the request have in common.
+    /// Fingerprint of the content that all attempts of the request have in common.
     pub content: Fingerprint,
     /// The end of the quarantine, in wall-clock time: the record outlives any monotonic
     /// clock, and an error of seconds in an hour is harmless.
