--- a/crates/rebalance/src/agent.rs
+++ b/crates/rebalance/src/agent.rs
@@ -118,7 +118,7 @@
     /// reports, and when it did.
     finisher: Option<(SocketAddr, Instant)>,
     cadence: Cadence,
-    wake: SuspendDetector,
+    suspend_detector: SuspendDetector,
     endpoint_lost: bool,
     /// The start time of the endpoint, as it last reported it.
     born: Option<StartTime>,
@@ -152,7 +152,7 @@
             hold_request: None,
             finisher: None,
             cadence: Cadence::default(),
-            wake: SuspendDetector::default(),
+            suspend_detector: SuspendDetector::default(),
             endpoint_lost: false,
             born: None,
             options,
@@ -268,7 +268,7 @@
 
     /// Reads the endpoint's state and takes the next steps.
     async fn poll_endpoint(&mut self, sockets: &Sockets, now: Instant) {
-        if self.wake.check() {
+        if self.suspend_detector.check() {
             // A hold never expires, and its requester has abandoned it by now or will
             // request it again.
             self.hold_request = None;
--- a/crates/rebalance/src/coordinator.rs
+++ b/crates/rebalance/src/coordinator.rs
@@ -149,7 +149,7 @@
             && *version == own.current
         {
             self.demand
-                .measure(pass, map, &self.paces(), self.utilisation());
+                .measure(pass, map, &self.slowdowns(), self.utilisation());
         }
         if let Some(maps) = self.fresh_maps(now) {
             self.assemble(&maps);
@@ -174,17 +174,17 @@
         self.rows.iter().map(word).collect()
     }
 
-    /// Returns the pace of the slowest rank.
+    /// Returns the slowdown of the slowest rank.
     #[must_use]
     pub fn slowest(&self) -> Slowdown {
-        let paces = self.rows.iter().flatten().map(|row| row.status.pace);
-        paces.max().unwrap_or_default()
+        let slowdowns = self.rows.iter().flatten().map(|row| row.status.pace);
+        slowdowns.max().unwrap_or_default()
     }
 
-    /// Returns how many times longer than usual each rank takes.
-    fn paces(&self) -> Vec<f64> {
-        let pace = |row: &Option<Row>| row.as_ref().map_or(1.0, |row| row.status.pace.factor());
-        self.rows.iter().map(pace).collect()
+    /// Returns the slowdown factor of each rank.
+    fn slowdowns(&self) -> Vec<f64> {
+        let slowdown = |row: &Option<Row>| row.as_ref().map_or(1.0, |row| row.status.pace.factor());
+        self.rows.iter().map(slowdown).collect()
     }
 
     /// Returns the number of running and waiting requests for each slot of the group.
@@ -309,10 +309,10 @@
         if !settled || !self.all_reachable_again() {
             return None;
         }
-        let paces = self.paces();
+        let slowdowns = self.slowdowns();
         let (version, map) = self.map.as_ref()?;
         let plan = (*version == maps[0].current)
-            .then(|| self.demand.plan(map, &paces, now))
+            .then(|| self.demand.plan(map, &slowdowns, now))
             .flatten()?;
         self.begin(maps, plan, now)
     }
@@ -321,9 +321,9 @@
     /// be far better. No rank is armed before all have loaded, and a late order to load the
     /// former map is refused because of its version.
     fn replace(&mut self, maps: &[Maps], now: Instant) -> Option<Event> {
-        let paces = self.paces();
+        let slowdowns = self.slowdowns();
         let ((_, map), next) = (self.map.as_ref()?, self.next.as_ref()?);
-        let plan = self.demand.replacement(map, next, &paces)?;
+        let plan = self.demand.replacement(map, next, &slowdowns)?;
         self.begin(maps, plan, now)
     }
 
--- a/crates/rebalance/src/coordinator/demand.rs
+++ b/crates/rebalance/src/coordinator/demand.rs
@@ -61,9 +61,15 @@
 
     /// Records the duration of a pass under `map`, and the utilisation of the
     /// group.
-    pub(crate) fn measure(&mut self, pass: Duration, map: &Map, paces: &[f64], utilisation: f64) {
+    pub(crate) fn measure(
+        &mut self,
+        pass: Duration,
+        map: &Map,
+        slowdowns: &[f64],
+        utilisation: f64,
+    ) {
         self.pressure.set_utilisation(utilisation);
-        let skew = plan::skew_of(map, &self.estimate, paces);
+        let skew = plan::skew_of(map, &self.estimate, slowdowns);
         if self.estimate.total() > 0.0 {
             self.pressure.measure(pass, skew);
         }
@@ -78,12 +84,12 @@
     }
 
     /// Returns a plan whose round is worthwhile under `map`, if there is one.
-    pub(crate) fn plan(&mut self, map: &Map, paces: &[f64], now: Instant) -> Option<Plan> {
+    pub(crate) fn plan(&mut self, map: &Map, slowdowns: &[f64], now: Instant) -> Option<Plan> {
         let recent = |at| now.saturating_duration_since(at) < REPLAN_INTERVAL;
         if !self.shifted && self.rejected_at.is_some_and(recent) {
             return None;
         }
-        let plan = self.compute(map, paces)?;
+        let plan = self.compute(map, slowdowns)?;
         if std::mem::take(&mut self.shifted) {
             self.pressure.record_shift(plan.before);
         }
@@ -96,21 +102,21 @@
 
     /// Returns the plan that replaces a round which is still loading `next`, if
     /// demand has shifted and another map would be far better.
-    pub(crate) fn replacement(&mut self, map: &Map, next: &Map, paces: &[f64]) -> Option<Plan> {
+    pub(crate) fn replacement(&mut self, map: &Map, next: &Map, slowdowns: &[f64]) -> Option<Plan> {
         if !std::mem::take(&mut self.shifted) {
             return None;
         }
-        let skew = f64::from(plan::skew_of(next, &self.estimate, paces));
-        let plan = self.compute(map, paces)?;
+        let skew = f64::from(plan::skew_of(next, &self.estimate, slowdowns));
+        let plan = self.compute(map, slowdowns)?;
         self.pressure.record_shift(plan.before);
         (f64::from(plan.after) <= skew * (1.0 - REPLACE_GAIN_MIN)).then_some(plan)
     }
 
-    fn compute(&self, map: &Map, paces: &[f64]) -> Option<Plan> {
+    fn compute(&self, map: &Map, slowdowns: &[f64]) -> Option<Plan> {
         let known = self.estimate.total() >= CHOICES_MIN;
         let group = plan::Group {
             pressure: &self.pressure,
-            paces,
+            slowdowns,
         };
         known.then(|| plan::plan(map, &self.estimate, &self.shape, &self.options, &group))
     }
--- a/crates/rebalance/src/layer.rs
+++ b/crates/rebalance/src/layer.rs
@@ -12,7 +12,7 @@
 const EXPERTS: usize = 6;
 
 /// One set of layers with the loads of its ranks: the time that each needs, where 1 is that
-/// of an even share at the usual pace.
+/// of an even share at normal speed.
 ///
 /// The peak is a power mean of the loads. It is close to the greatest load, but it also
 /// falls when one of several equally busy ranks is relieved, which keeps the search from
@@ -25,8 +25,8 @@
     /// The ranks that hold each expert.
     holders: Vec<Vec<u16>>,
     loads: Vec<f64>,
-    /// How many times longer than usual each rank takes.
-    paces: Vec<f64>,
+    /// The slowdown factor of each rank.
+    slowdowns: Vec<f64>,
     /// The loads raised to the power of the mean.
     powers: Vec<f64>,
     /// The sum of the powers.
@@ -54,7 +54,7 @@
 }
 
 impl Layer {
-    pub(crate) fn new(set: usize, ranks: &[Vec<u16>], counts: &[f64], paces: &[f64]) -> Self {
+    pub(crate) fn new(set: usize, ranks: &[Vec<u16>], counts: &[f64], slowdowns: &[f64]) -> Self {
         let mut holders = vec![Vec::new(); counts.len()];
         for (rank, experts) in ranks.iter().enumerate() {
             for &expert in experts {
@@ -73,7 +73,7 @@
             weights: counts.iter().map(|count| count * unit).collect(),
             holders,
             loads: vec![0.0; ranks.len()],
-            paces: paces.to_vec(),
+            slowdowns: slowdowns.to_vec(),
             powers: vec![0.0; ranks.len()],
             power_sum: 0.0,
             copies: vec![0; ranks.len()],
@@ -112,7 +112,7 @@
     fn recompute(&mut self) {
         for rank in 0..self.ranks.len() {
             let shares = self.ranks[rank].iter().map(|&expert| self.share(expert));
-            self.loads[rank] = self.paces[rank] * shares.sum::<f64>();
+            self.loads[rank] = self.slowdowns[rank] * shares.sum::<f64>();
         }
         for (powered, &load) in self.powers.iter_mut().zip(&self.loads) {
             *powered = power(load);
@@ -187,7 +187,7 @@
             let holder = usize::from(holder);
             let more = change.delta(true, false, holder == rank);
             power_sum +=
-                power(self.loads[holder] + self.paces[holder] * more) - self.powers[holder];
+                power(self.loads[holder] + self.slowdowns[holder] * more) - self.powers[holder];
         }
         let gain = power_mean(self.power_sum) - power_mean(power_sum);
         let first = Move {
@@ -280,7 +280,7 @@
             if let Some((out, change)) = &out_change {
                 more += change.delta(self.holds(rank, *out), gives, gets);
             }
-            let load = self.loads[rank] + self.paces[rank] * more;
+            let load = self.loads[rank] + self.slowdowns[rank] * more;
             power_sum += power(load) - self.powers[rank];
         };
         let holders = |expert: u16| self.holders[usize::from(expert)].iter().copied();
--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -28,8 +28,8 @@
 pub struct Group<'a> {
     /// How near it is to its limits.
     pub pressure: &'a Pressure,
-    /// How many times longer than usual each rank takes.
-    pub paces: &'a [f64],
+    /// The slowdown factor of each rank: how many times longer than usual it takes.
+    pub slowdowns: &'a [f64],
 }
 
 /// The moves of a round with the skew before and after them.
@@ -38,8 +38,8 @@
 pub struct Plan {
     /// The moves.
     pub moves: Vec<Move>,
-    /// The time of the slowest rank relative to that of an even share at the usual pace,
-    /// mean of all sets, in thousandths.
+    /// The time of the slowest rank relative to that of an even share at normal speed, mean
+    /// of all sets, in thousandths.
     pub before: u32,
     /// The same after the moves.
     pub after: u32,
@@ -89,7 +89,7 @@
     options: &Options,
     group: &Group<'_>,
 ) -> Plan {
-    let mut layers = layers(map, estimate, group.paces);
+    let mut layers = layers(map, estimate, group.slowdowns);
     let ranks = map.sets.first().map_or(0, Vec::len);
     let mut copies_left = vec![options.copies_per_rank; ranks];
     let before = skew(&layers);
@@ -122,16 +122,16 @@
 }
 
 /// Returns the mean over the sets of the busiest rank's time relative to that of an even
-/// share at the usual pace under `map`, in thousandths. `paces` gives how many times longer
-/// than usual each rank takes.
+/// share at normal speed under `map`, in thousandths. `slowdowns` gives how many times
+/// longer than usual each rank takes.
 #[must_use]
-pub fn skew_of(map: &Map, estimate: &Estimate, paces: &[f64]) -> u32 {
-    skew(&layers(map, estimate, paces))
+pub fn skew_of(map: &Map, estimate: &Estimate, slowdowns: &[f64]) -> u32 {
+    skew(&layers(map, estimate, slowdowns))
 }
 
-fn layers(map: &Map, estimate: &Estimate, paces: &[f64]) -> Vec<Layer> {
+fn layers(map: &Map, estimate: &Estimate, slowdowns: &[f64]) -> Vec<Layer> {
     let sets = map.sets.iter().enumerate();
-    sets.map(|(set, ranks)| Layer::new(set, ranks, estimate.set(set), paces))
+    sets.map(|(set, ranks)| Layer::new(set, ranks, estimate.set(set), slowdowns))
         .collect()
 }
 
--- a/crates/rebalance/src/pressure.rs
+++ b/crates/rebalance/src/pressure.rs
@@ -77,7 +77,7 @@
 
     /// Records the duration of a pass under a map of this skew, in thousandths.
     pub fn measure(&mut self, pass: Duration, skew: u32) {
-        let balanced = pass.as_secs_f64() / self.slowdown(f64::from(skew));
+        let balanced = pass.as_secs_f64() / self.skew_factor(f64::from(skew));
         update_mean(&mut self.balanced, balanced);
     }
 
@@ -100,7 +100,7 @@
         let Some((balanced, max_pause)) = self.balanced.zip(max_pause) else {
             return 1.0;
         };
-        let fraction = |skew| balanced * self.slowdown(skew) / max_pause.as_secs_f64();
+        let fraction = |skew| balanced * self.skew_factor(skew) / max_pause.as_secs_f64();
         let now = PASS.closeness(fraction(f64::from(skew)));
         let shift = self
             .shift_skew
@@ -109,7 +109,7 @@
     }
 
     /// Returns the factor by which a skew lengthens a pass.
-    fn slowdown(&self, skew: f64) -> f64 {
+    fn skew_factor(&self, skew: f64) -> f64 {
         1.0 - self.expert_share + self.expert_share * (skew / THOUSAND).max(1.0)
     }
 }
--- a/crates/rebalance/src/rank.rs
+++ b/crates/rebalance/src/rank.rs
@@ -56,7 +56,7 @@
         new
     }
 
-    /// Returns the pace of the slowest rank, or the default if this rank does not lead.
+    /// Returns the slowdown of the slowest rank, or the default if this rank does not lead.
     #[must_use]
     pub fn slowest(&self) -> Slowdown {
         let lead = self.coordinator.as_ref();
--- a/crates/rebalance/tests/plan.rs
+++ b/crates/rebalance/tests/plan.rs
@@ -48,21 +48,21 @@
     }
 }
 
-/// Plans for a group whose ranks all have their usual pace.
+/// Plans for a group whose ranks all have their normal speed.
 fn plan_even(map: &Map, estimate: &Estimate, shape: &Shape, options: &Options) -> Plan {
-    plan_with_paces(map, estimate, shape, options, &vec![1.0; map.sets[0].len()])
+    plan_with_slowdowns(map, estimate, shape, options, &vec![1.0; map.sets[0].len()])
 }
 
-fn plan_with_paces(
+fn plan_with_slowdowns(
     map: &Map,
     estimate: &Estimate,
     shape: &Shape,
     options: &Options,
-    paces: &[f64],
+    slowdowns: &[f64],
 ) -> Plan {
     let group = Group {
         pressure: &Pressure::new(0.85, None),
-        paces,
+        slowdowns,
     };
     plan(map, estimate, shape, options, &group)
 }
--- a/crates/rebalance/tests/price.rs
+++ b/crates/rebalance/tests/price.rs
@@ -103,7 +103,7 @@
     };
     let group = Group {
         pressure,
-        paces: &[1.0; 4],
+        slowdowns: &[1.0; 4],
     };
     plan(&map, &estimate, &shape, &options, &group).moves.len()
 }
--- a/crates/rebalance/tests/slow_rank.rs
+++ b/crates/rebalance/tests/slow_rank.rs
@@ -71,16 +71,16 @@
     estimate
 }
 
-fn paces(slow: &[usize]) -> Vec<f64> {
-    let pace = |rank| if slow.contains(&rank) { FACTOR } else { 1.0 };
-    (0..RANKS).map(pace).collect()
+fn slowdowns(slow: &[usize]) -> Vec<f64> {
+    let slowdown = |rank| if slow.contains(&rank) { FACTOR } else { 1.0 };
+    (0..RANKS).map(slowdown).collect()
 }
 
 /// Plans and applies rounds; returns the last plan.
-fn run_rounds(map: &mut Map, paces: &[f64], count: usize) -> Plan {
+fn run_rounds(map: &mut Map, slowdowns: &[f64], count: usize) -> Plan {
     let group = Group {
         pressure: &Pressure::new(0.85, None),
-        paces,
+        slowdowns,
     };
     let mut last = Plan::default();
     for _ in 0..count {
@@ -94,9 +94,9 @@
 #[test]
 fn a_slow_rank_is_relieved_within_a_few_rounds() {
     let mut map = round_robin();
-    run_rounds(&mut map, &paces(&[]), 6);
-    let before = skew_of(&map, &demand(), &paces(&[SLOW]));
-    let last = run_rounds(&mut map, &paces(&[SLOW]), ROUNDS);
+    run_rounds(&mut map, &slowdowns(&[]), 6);
+    let before = skew_of(&map, &demand(), &slowdowns(&[SLOW]));
+    let last = run_rounds(&mut map, &slowdowns(&[SLOW]), ROUNDS);
     assert!(
         before > 8_000,
         "the slow rank does not slow the group: {before}"
@@ -112,8 +112,8 @@
 #[test]
 fn maps_that_take_all_ranks_for_equal_leave_the_group_slow() {
     let mut map = round_robin();
-    run_rounds(&mut map, &paces(&[]), 6 + ROUNDS);
-    let left = skew_of(&map, &demand(), &paces(&[SLOW]));
+    run_rounds(&mut map, &slowdowns(&[]), 6 + ROUNDS);
+    let left = skew_of(&map, &demand(), &slowdowns(&[SLOW]));
     assert!(
         left > 8_000,
         "the load of this test does not slow the group: {left}"
@@ -123,8 +123,8 @@
 #[test]
 fn a_rank_that_has_recovered_gets_its_part_again() {
     let mut map = round_robin();
-    run_rounds(&mut map, &paces(&[SLOW]), 8);
-    let last = run_rounds(&mut map, &paces(&[]), 8);
+    run_rounds(&mut map, &slowdowns(&[SLOW]), 8);
+    let last = run_rounds(&mut map, &slowdowns(&[]), 8);
     assert!(last.after < 1_200, "the skew stays at {}", last.after);
 }
 
@@ -132,7 +132,7 @@
 fn what_only_slow_ranks_have_room_for_stays_with_them() {
     // Five ranks have 55 places for 64 experts.
     let mut map = round_robin();
-    let slow = paces(&[1, 4, 6]);
+    let slow = slowdowns(&[1, 4, 6]);
     let before = skew_of(&map, &demand(), &slow);
     let last = run_rounds(&mut map, &slow, 8);
     assert!(
@@ -151,7 +151,7 @@
         set[SLOW + 1].extend(held.iter().take(SHAPE.places - 8));
         set[SLOW + 1].sort_unstable();
     }
-    let plan = run_rounds(&mut map, &paces(&[SLOW]), 1);
+    let plan = run_rounds(&mut map, &slowdowns(&[SLOW]), 1);
     let dropped = |step: &&cactusnotch_rebalance::map::Move| {
         step.new.is_none() && usize::from(step.rank) == SLOW
     };
--- a/crates/rebalance/tests/world/mod.rs
+++ b/crates/rebalance/tests/world/mod.rs
@@ -356,9 +356,9 @@
         self.finish(at);
     }
 
-    /// Returns the pace of a rank: each in turn is far slower for a while, and rounds move
-    /// experts away from it.
-    fn pace(&self, at: usize) -> Slowdown {
+    /// Returns the slowdown of a rank: each in turn is far slower for a while, and rounds
+    /// move experts away from it.
+    fn slowdown(&self, at: usize) -> Slowdown {
         let index = self.tick / 300 % (self.ranks as u64 + 1);
         let slow = usize::try_from(index).is_ok_and(|slow| slow == at);
         Slowdown::from_factor(if slow { 12.0 } else { 1.0 })
@@ -367,7 +367,7 @@
     /// Completes the round of an unresponsive leader, and reports to other agents that do.
     fn finish(&mut self, at: usize) {
         let maps = self.endpoints[at].report(self.step);
-        let (place, now, slowdown) = (self.place(at), self.now(), self.pace(at));
+        let (place, now, slowdown) = (self.place(at), self.now(), self.slowdown(at));
         let agent = &mut self.agents[at];
         let status = Status {
             place: place.clone(),
@@ -412,7 +412,7 @@
         for _ in 0..4 {
             let maps = self.endpoints[at].report(self.step);
             let place = self.place(at);
-            let (now, slowdown) = (self.now(), self.pace(at));
+            let (now, slowdown) = (self.now(), self.slowdown(at));
             let agent = &mut self.agents[at];
             agent.leader = true;
             agent.rank.observe(&place, &maps);
