--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -30,21 +30,21 @@
 /// Probes whether the endpoint crashed or only the connection failed, and records a
 /// crash for the request. The probe continues if the caller disconnects meanwhile.
 pub(crate) async fn probe(shared: &Rc<SharedState>, call: &Call, broken_run: BrokenRun) {
-    let (shared, content) = (Rc::clone(shared), call.fingerprint());
-    let probed = tokio::task::spawn_local(probe_endpoint(shared, content, broken_run));
+    let (shared, fingerprint) = (Rc::clone(shared), call.fingerprint());
+    let probed = tokio::task::spawn_local(probe_endpoint(shared, fingerprint, broken_run));
     if let Err(error) = probed.await {
-        tracing::error!(%content, %error, "crash probe failed");
+        tracing::error!(content = %fingerprint, %error, "crash probe failed");
     }
 }
 
-async fn probe_endpoint(shared: Rc<SharedState>, content: Fingerprint, broken_run: BrokenRun) {
+async fn probe_endpoint(shared: Rc<SharedState>, fingerprint: Fingerprint, broken_run: BrokenRun) {
     let at = clock::now();
     let Err(error) = tcp::connect(broken_run.address, PROBE_TIMEOUT).await else {
         return;
     };
     if error.kind() != ErrorKind::ConnectionRefused {
         let endpoint = broken_run.endpoint;
-        tracing::info!(%content, endpoint, %error, "endpoint unreachable, crash not confirmed");
+        tracing::info!(content = %fingerprint, endpoint, %error, "endpoint unreachable, crash not confirmed");
         return;
     }
     metrics::counter!(metric::GATEWAY_CRASHES).increment(1);
@@ -53,5 +53,5 @@
         sent: broken_run.sent,
         at,
     };
-    shared.note_crash(content, &crash, clock::now());
+    shared.note_crash(fingerprint, &crash, clock::now());
 }
--- a/crates/gateway/src/fleet/exclusion.rs
+++ b/crates/gateway/src/fleet/exclusion.rs
@@ -18,7 +18,7 @@
     #[display("the endpoint's data centre is evacuated")]
     Evacuated,
     /// The endpoint has asked for a back-off.
-    #[display("the endpoint backoffs")]
+    #[display("the endpoint rests")]
     BackingOff,
     /// This entry has used its allotment of the endpoint's rate limit.
     #[display("the endpoint is at its limit")]
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -79,7 +79,7 @@
         Ok(Datagram::Changes(changes)) => shared.apply_changes(changes, now),
         Ok(Datagram::Crash(crash)) => shared.apply_crash_report(&crash, from, now),
         Ok(Datagram::Held(held)) => shared.apply_quarantine_report(&held, now),
-        Ok(Datagram::Served(content)) => shared.apply_served_report(content),
+        Ok(Datagram::Served(fingerprint)) => shared.apply_served_report(fingerprint),
         Ok(Datagram::Limits(limits)) => {
             let reports = limits.iter().filter_map(|limit| limit.report(now));
             shared.apply_limit_reports(&reports.collect::<Vec<_>>(), now);
--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -32,30 +32,31 @@
         if self.quarantine.borrow().is_empty() {
             return;
         }
-        let content = call.fingerprint();
-        let Some(held) = self.clear(content) else {
+        let fingerprint = call.fingerprint();
+        let Some(held) = self.clear(fingerprint) else {
             return;
         };
         if held {
             self.notifications
-                .broadcast_repeatedly(Notification::Served(content));
-            self.records.push(Write::Erase(content));
+                .broadcast_repeatedly(Notification::Served(fingerprint));
+            self.records.push(Write::Erase(fingerprint));
         } else {
-            self.notifications.broadcast(Notification::Served(content));
+            self.notifications
+                .broadcast(Notification::Served(fingerprint));
         }
     }
 
     /// Records that this entry observed an endpoint's crash during a request, and notifies
     /// the others.
-    pub(crate) fn note_crash(&self, content: Fingerprint, crash: &Crash, now: Instant) {
-        let verdict = self.record_crash(content, crash, now);
+    pub(crate) fn note_crash(&self, fingerprint: Fingerprint, crash: &Crash, now: Instant) {
+        let verdict = self.record_crash(fingerprint, crash, now);
         if verdict == Verdict::Known {
             return;
         }
         self.notifications
-            .broadcast_repeatedly(Notification::Crash(content, crash.clone()));
+            .broadcast_repeatedly(Notification::Crash(fingerprint, crash.clone()));
         if verdict == Verdict::Held {
-            self.write_record(content);
+            self.write_record(fingerprint);
         }
     }
 
@@ -99,8 +100,8 @@
     }
 
     /// Applies another entry's report that a request was served completely.
-    pub(crate) fn apply_served_report(&self, content: Fingerprint) {
-        self.clear(content);
+    pub(crate) fn apply_served_report(&self, fingerprint: Fingerprint) {
+        self.clear(fingerprint);
     }
 
     /// Applies the store's record of a quarantined request.
@@ -131,22 +132,22 @@
         if held.is_empty() || self.peers.borrow().ready_before(now) > 0 {
             return;
         }
-        for (content, _) in held {
-            if self.quarantine.borrow_mut().note_record(content, false) {
-                self.write_record(content);
+        for (fingerprint, _) in held {
+            if self.quarantine.borrow_mut().note_record(fingerprint, false) {
+                self.write_record(fingerprint);
             }
         }
     }
 
-    fn record_crash(&self, content: Fingerprint, crash: &Crash, now: Instant) -> Verdict {
+    fn record_crash(&self, fingerprint: Fingerprint, crash: &Crash, now: Instant) -> Verdict {
         let verdict = self
             .quarantine
             .borrow_mut()
-            .record_crash(content, crash, now);
+            .record_crash(fingerprint, crash, now);
         if verdict != Verdict::Known {
             let endpoint = crash.endpoint.as_str();
             let ago = millis(now.saturating_duration_since(crash.at));
-            tracing::warn!(%content, endpoint, ago_ms = ago, ?verdict, "endpoint ended under a request");
+            tracing::warn!(content = %fingerprint, endpoint, ago_ms = ago, ?verdict, "endpoint ended under a request");
         }
         self.gauge_held();
         verdict
@@ -154,28 +155,31 @@
 
     fn apply_quarantine(
         &self,
-        content: Fingerprint,
+        fingerprint: Fingerprint,
         left: Duration,
         cause: &str,
         now: Instant,
     ) -> bool {
-        let new = self.quarantine.borrow_mut().add(content, left, now);
+        let new = self.quarantine.borrow_mut().add(fingerprint, left, now);
         if new {
-            tracing::warn!(%content, left_ms = millis(left), cause, "request held");
+            tracing::warn!(content = %fingerprint, left_ms = millis(left), cause, "request held");
         }
         self.gauge_held();
         new
     }
 
-    fn clear(&self, content: Fingerprint) -> Option<bool> {
-        let held = self.quarantine.borrow_mut().clear(content, clock::now())?;
-        tracing::info!(%content, held, "request cleared: it was served");
+    fn clear(&self, fingerprint: Fingerprint) -> Option<bool> {
+        let held = self
+            .quarantine
+            .borrow_mut()
+            .clear(fingerprint, clock::now())?;
+        tracing::info!(content = %fingerprint, held, "request cleared: it was served");
         self.gauge_held();
         Some(held)
     }
 
-    fn write_record(&self, content: Fingerprint) {
-        self.records.push(Write::Keep(content));
+    fn write_record(&self, fingerprint: Fingerprint) {
+        self.records.push(Write::Keep(fingerprint));
     }
 
     fn gauge_held(&self) {
--- a/crates/gateway/src/notifications.rs
+++ b/crates/gateway/src/notifications.rs
@@ -43,17 +43,17 @@
     fn datagram(&self, now: Instant) -> Datagram {
         let millis = |time| u32::try_from(millis(time)).unwrap_or(u32::MAX);
         match self {
-            Self::Crash(content, crash) => Datagram::Crash(peer::Crash {
-                content: *content,
+            Self::Crash(fingerprint, crash) => Datagram::Crash(peer::Crash {
+                content: *fingerprint,
                 endpoint: crash.endpoint.clone(),
                 sent_ago: millis(now.saturating_duration_since(crash.sent)),
                 ago: millis(now.saturating_duration_since(crash.at)),
             }),
-            Self::Held(content, until) => Datagram::Held(peer::Quarantined {
-                content: *content,
+            Self::Held(fingerprint, until) => Datagram::Held(peer::Quarantined {
+                content: *fingerprint,
                 left: millis(until.saturating_duration_since(now)),
             }),
-            Self::Served(content) => Datagram::Served(*content),
+            Self::Served(fingerprint) => Datagram::Served(*fingerprint),
             Self::Limits(reports) => {
                 let limit = |report: &Report| peer::Limit {
                     endpoint: report.endpoint.clone(),
--- a/crates/gateway/src/quarantine.rs
+++ b/crates/gateway/src/quarantine.rs
@@ -126,11 +126,18 @@
         self.rows.values().filter(quarantined).count()
     }
 
-    /// Records the crash of an endpoint during the request `content`.
-    pub fn record_crash(&mut self, content: Fingerprint, crash: &Crash, now: Instant) -> Verdict {
-        self.make_room(content);
+    /// Records the crash of an endpoint during the request with this fingerprint.
+    pub fn record_crash(
+        &mut self,
+        fingerprint: Fingerprint,
+        crash: &Crash,
+        now: Instant,
+    ) -> Verdict {
+        self.make_room(fingerprint);
         let until = now + SUSPECT_TIME;
-        let row = self.rows.get_or_insert_with(content, || Row::new(until));
+        let row = self
+            .rows
+            .get_or_insert_with(fingerprint, || Row::new(until));
         let known = |known: &Crash| known.endpoint == crash.endpoint;
         if row.crashes.iter().any(known) {
             return Verdict::Known;
@@ -144,16 +151,18 @@
             return Verdict::Suspected;
         }
         row.quarantine(now + QUARANTINE_TIME);
-        self.cleared.remove(&content);
+        self.cleared.remove(&fingerprint);
         Verdict::Held
     }
 
     /// Quarantines a request for `left`, at most [`QUARANTINE_TIME`], as reported by another
     /// entry or the store; returns whether it was not quarantined before.
-    pub fn add(&mut self, content: Fingerprint, left: Duration, now: Instant) -> bool {
-        self.make_room(content);
+    pub fn add(&mut self, fingerprint: Fingerprint, left: Duration, now: Instant) -> bool {
+        self.make_room(fingerprint);
         let until = now + left.min(QUARANTINE_TIME);
-        let row = self.rows.get_or_insert_with(content, || Row::new(until));
+        let row = self
+            .rows
+            .get_or_insert_with(fingerprint, || Row::new(until));
         if row.quarantined_until.is_some() {
             return false;
         }
@@ -163,26 +172,28 @@
 
     /// Returns the time left of a request's quarantine, if it is quarantined.
     #[must_use]
-    pub fn time_left(&self, content: Fingerprint, now: Instant) -> Option<Duration> {
-        let until = self.rows.get(&content)?.quarantined_until?;
+    pub fn time_left(&self, fingerprint: Fingerprint, now: Instant) -> Option<Duration> {
+        let until = self.rows.get(&fingerprint)?.quarantined_until?;
         until.checked_duration_since(now)
     }
 
     /// Clears a request that was served completely and thus is not the cause of the crashes.
     /// Returns whether it was quarantined, or `None` if it was not remembered.
-    pub fn clear(&mut self, content: Fingerprint, now: Instant) -> Option<bool> {
-        let row = self.rows.remove(&content)?;
+    pub fn clear(&mut self, fingerprint: Fingerprint, now: Instant) -> Option<bool> {
+        let row = self.rows.remove(&fingerprint)?;
         let was_quarantined = row.quarantined_until.is_some();
         if was_quarantined {
-            self.cleared.insert(content, now + CLEARED_TIME);
+            self.cleared.insert(fingerprint, now + CLEARED_TIME);
         }
         Some(was_quarantined)
     }
 
     /// Returns whether the request's quarantine was recently lifted because it was served.
     #[must_use]
-    pub fn is_cleared(&self, content: Fingerprint, now: Instant) -> bool {
-        self.cleared.get(&content).is_some_and(|until| *until > now)
+    pub fn is_cleared(&self, fingerprint: Fingerprint, now: Instant) -> bool {
+        self.cleared
+            .get(&fingerprint)
+            .is_some_and(|until| *until > now)
     }
 
     /// Marks all records as missing after the store was restored from an older copy, which may
@@ -195,8 +206,8 @@
 
     /// Updates whether the store has a record of the request's quarantine; returns whether
     /// the record has to be written.
-    pub fn note_record(&mut self, content: Fingerprint, recorded: bool) -> bool {
-        let Some(row) = self.rows.get_mut(&content) else {
+    pub fn note_record(&mut self, fingerprint: Fingerprint, recorded: bool) -> bool {
+        let Some(row) = self.rows.get_mut(&fingerprint) else {
             return false;
         };
         let missing = row.quarantined_until.is_some() && !row.recorded && !recorded;
@@ -208,7 +219,7 @@
     pub fn all(&self, now: Instant) -> impl Iterator<Item = (Fingerprint, Duration)> {
         let left = move |row: &Row| row.quarantined_until?.checked_duration_since(now);
         let rows = self.rows.iter();
-        rows.filter_map(move |(content, row)| Some((*content, left(row)?)))
+        rows.filter_map(move |(fingerprint, row)| Some((*fingerprint, left(row)?)))
     }
 
     /// Drops expired rows.
@@ -218,12 +229,12 @@
     }
 
     /// Makes room for a request by dropping the row that expires first.
-    fn make_room(&mut self, content: Fingerprint) {
-        if self.rows.len() < ROWS_MAX || self.rows.contains(&content) {
+    fn make_room(&mut self, fingerprint: Fingerprint) {
+        if self.rows.len() < ROWS_MAX || self.rows.contains(&fingerprint) {
             return;
         }
         let first = self.rows.iter().min_by_key(|(_, row)| row.until);
-        if let Some(first) = first.map(|(content, _)| *content) {
+        if let Some(first) = first.map(|(fingerprint, _)| *fingerprint) {
             self.rows.remove(&first);
         }
     }
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -74,12 +74,12 @@
     write: Write,
 ) -> Result<(), Error> {
     let done = match write {
-        Write::Keep(content) => {
-            keep(shared, store, content).await?;
+        Write::Keep(fingerprint) => {
+            keep(shared, store, fingerprint).await?;
             "record of a held request kept"
         }
-        Write::Erase(content) => {
-            accept_already_done(store.remove_quarantine(content).await)?;
+        Write::Erase(fingerprint) => {
+            accept_already_done(store.remove_quarantine(fingerprint).await)?;
             "record of a held request removed"
         }
         // A later era may have started since the write was queued.
@@ -96,9 +96,12 @@
 async fn keep<C: Codec>(
     shared: &SharedState,
     store: &mut Store<C>,
-    content: Fingerprint,
+    fingerprint: Fingerprint,
 ) -> Result<(), Error> {
-    let left = shared.quarantine.borrow().time_left(content, clock::now());
+    let left = shared
+        .quarantine
+        .borrow()
+        .time_left(fingerprint, clock::now());
     // It may have been cleared since the write was queued.
     let Some(left) = left else {
         return Ok(());
@@ -106,10 +109,16 @@
     let until = clock::wall() + left;
     accept_already_done(
         store
-            .create_quarantine(&QuarantineRecord { content, until })
+            .create_quarantine(&QuarantineRecord {
+                content: fingerprint,
+                until,
+            })
             .await,
     )?;
-    shared.quarantine.borrow_mut().note_record(content, true);
+    shared
+        .quarantine
+        .borrow_mut()
+        .note_record(fingerprint, true);
     Ok(())
 }
 
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -124,7 +124,7 @@
     fn create_quarantine(record: &QuarantineRecord) -> Request<Bytes>;
 
     /// Encodes the call that removes the record of a quarantined request.
-    fn remove_quarantine(content: Fingerprint) -> Request<Bytes>;
+    fn remove_quarantine(fingerprint: Fingerprint) -> Request<Bytes>;
 
     /// Encodes the call that creates the record of a settled era.
     fn create_settled_era(era: Era) -> Request<Bytes>;
@@ -342,8 +342,8 @@
     /// # Errors
     ///
     /// Returns an error if the call failed; the record may have been removed.
-    pub async fn remove_quarantine(&mut self, content: Fingerprint) -> Result<(), Error> {
-        self.call(C::remove_quarantine(content), CALL_TIMEOUT)
+    pub async fn remove_quarantine(&mut self, fingerprint: Fingerprint) -> Result<(), Error> {
+        self.call(C::remove_quarantine(fingerprint), CALL_TIMEOUT)
             .await
             .map(drop)
     }
--- a/crates/rebalance/src/agent/hear.rs
+++ b/crates/rebalance/src/agent/hear.rs
@@ -26,7 +26,7 @@
         let message: Datagram = match datagram::decode(bytes) {
             Ok(message) => message,
             Err(error) => {
-                tracing::debug!(%from, %error, "datagram dropped");
+                tracing::debug!(%from, %error, "invalid datagram dropped");
                 return false;
             }
         };
--- a/crates/rebalance/src/agent/sockets.rs
+++ b/crates/rebalance/src/agent/sockets.rs
@@ -25,6 +25,6 @@
 /// repeated.
 pub(crate) fn send_bytes(socket: &UdpSocket, bytes: &[u8], to: SocketAddr) {
     if let Err(error) = socket.try_send_to(bytes, to) {
-        tracing::debug!(%to, %error, "datagram not sent");
+        tracing::debug!(%to, %error, "sending a datagram failed");
     }
 }
