--- a/crates/gateway/src/account.rs
+++ b/crates/gateway/src/account.rs
@@ -1,4 +1,4 @@
-//! The lines that explain how requests ended.
+//! Log lines and metrics for the outcome of requests.
 
 use cactusnotch_base::clock::{self, Instant};
 use cactusnotch_base::name;
@@ -9,8 +9,8 @@
 use crate::refusal::Refusal;
 use crate::request::Call;
 
-/// Writes the line that explains how a request ended.
-pub(crate) fn ended(
+/// Logs the outcome of a request that an endpoint was sought for.
+pub(crate) fn log_ended(
     shared: &SharedState,
     call: &Call,
     tried: &[name::Endpoint],
@@ -21,8 +21,8 @@
     let now = clock::now();
     tracing::info!(
         id = call.head.id.as_deref(),
-        route = call.judged.route.name,
-        organisation = call.judged.organisation.as_ref().map(|o| o.name.as_str()),
+        route = call.resolved.route.name,
+        organisation = call.resolved.organisation.as_ref().map(|o| o.name.as_str()),
         version = call.version,
         patience_ms = call.head.time_budget.map(millis),
         returned = call.has_returned,
@@ -40,8 +40,13 @@
         .record(now.saturating_duration_since(call.arrived));
 }
 
-/// Writes the line that explains why a request was refused before an endpoint was chosen.
-pub(crate) fn refused(shared: &SharedState, id: Option<&str>, refusal: Refusal, arrived: Instant) {
+/// Logs why a request was refused before an endpoint was selected.
+pub(crate) fn log_refused(
+    shared: &SharedState,
+    id: Option<&str>,
+    refusal: Refusal,
+    arrived: Instant,
+) {
     let now = clock::now();
     let age = shared.freshness.borrow().age(now);
     let version = shared.configuration().map(|c| c.version);
--- a/crates/gateway/src/client.rs
+++ b/crates/gateway/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to one peer over a connection that is opened when it is needed.
+//! An HTTP client of one peer that connects on demand.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,72 +10,79 @@
 
 use crate::channel::{Channel, Error};
 
-/// Why a call brought no body.
+/// Why a call returned no body.
 #[derive(Debug)]
 pub enum Failure {
-    /// There was no answer; the call may have been done.
+    /// There was no response; the peer may have carried out the request.
     NoAnswer(Error),
-    /// The peer refused the call.
+    /// The peer refused the request.
     Refused(StatusCode),
 }
 
-/// Calls to one peer, one after the other.
+/// A client of one peer that makes one call at a time.
 #[derive(Debug)]
 pub struct Client {
     peer: SocketAddr,
-    connect: Duration,
-    answer_max: usize,
+    connect_timeout: Duration,
+    answer_bytes_max: usize,
     channel: Option<Channel>,
 }
 
 impl Client {
-    /// Creates a client of `peer` that connects within `connect` and reads
-    /// answers of at most `answer_max` bytes.
+    /// Creates a client of `peer` that connects within `connect_timeout` and
+    /// reads responses of at most `answer_bytes_max`.
     #[must_use]
-    pub const fn new(peer: SocketAddr, connect: Duration, answer_max: usize) -> Self {
+    pub const fn new(peer: SocketAddr, connect_timeout: Duration, answer_bytes_max: usize) -> Self {
         Self {
             peer,
-            connect,
-            answer_max,
+            connect_timeout,
+            answer_bytes_max,
             channel: None,
         }
     }
 
-    /// Makes a call. The connection is kept only after a whole answer: one on
-    /// which an answer was lost may return it to the next call.
+    /// Sends a request and returns the response. The connection is kept only
+    /// after a complete response: if a response was lost, it could arrive as
+    /// the response to the next call.
     ///
     /// # Errors
     ///
-    /// Returns why there is no answer; the call may have been done.
+    /// Returns why there is no response; the peer may have carried out the
+    /// request.
     pub async fn call(
         &mut self,
         request: Request<Bytes>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let mut channel = match self.channel.take() {
             Some(channel) if channel.is_ready() => channel,
-            _ => Channel::open(self.peer, self.connect).await?,
+            _ => Channel::open(self.peer, self.connect_timeout).await?,
         };
         let mut request = request.map(Full::new);
         if let Ok(host) = HeaderValue::from_str(&self.peer.to_string()) {
             request.headers_mut().insert(HOST, host);
         }
-        let response = channel.call(request, self.answer_max, limit).await?;
+        let response = channel
+            .call(request, self.answer_bytes_max, timeout)
+            .await?;
         self.channel = Some(channel);
         Ok(response)
     }
 
-    /// Makes a call and returns the body of a success.
+    /// Sends a request and returns the body of a successful response.
     ///
     /// # Errors
     ///
-    /// Returns why there is none.
+    /// Returns why there is no body.
     pub async fn fetch(
         &mut self,
         request: Request<Bytes>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Bytes, Failure> {
-        let response = self.call(request, limit).await.map_err(Failure::NoAnswer)?;
+        let response = self
+            .call(request, timeout)
+            .await
+            .map_err(Failure::NoAnswer)?;
         match response.status() {
             status if status.is_success() => Ok(response.into_body()),
             status => Err(Failure::Refused(status)),
--- a/crates/gateway/src/crash.rs
+++ b/crates/gateway/src/crash.rs
@@ -1,4 +1,4 @@
-//! Finds out whether an endpoint has ended under a request.
+//! Detects crashes of endpoints during requests.
 
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -14,43 +14,44 @@
 use crate::request::Call;
 use crate::tcp;
 
-/// How long an endpoint is asked for a connection. A host without a process refuses it
-/// within a round trip; one that is silent tells nothing.
+/// The timeout of the connection attempt that probes an endpoint. A host without the
+/// process refuses the connection within a round trip; a host that doesn't respond
+/// leaves it open.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// A run whose connection broke before it had given anything.
+/// A run whose connection failed before, or shortly after, its first piece.
 #[derive(Debug)]
-pub(crate) struct Cut {
+pub(crate) struct BrokenRun {
     pub(crate) endpoint: String,
     pub(crate) address: SocketAddr,
     pub(crate) sent: Instant,
 }
 
-/// Finds out whether the endpoint has ended, as opposed to its connection, and remembers
-/// that of the request. Its caller may leave meanwhile.
-pub(crate) async fn examine(shared: &Rc<SharedState>, call: &Call, cut: Cut) {
-    let (shared, content) = (Rc::clone(shared), call.fingerprint());
-    let examined = tokio::task::spawn_local(examine_one(shared, content, cut));
-    if let Err(error) = examined.await {
-        tracing::error!(%content, %error, "an endpoint's end was not examined");
+/// Probes whether the endpoint crashed or only the connection failed, and records a
+/// crash for the request. The probe continues if the caller disconnects meanwhile.
+pub(crate) async fn probe(shared: &Rc<SharedState>, call: &Call, broken_run: BrokenRun) {
+    let (shared, fingerprint) = (Rc::clone(shared), call.fingerprint());
+    let probed = tokio::task::spawn_local(probe_endpoint(shared, fingerprint, broken_run));
+    if let Err(error) = probed.await {
+        tracing::error!(content = %fingerprint, %error, "crash probe failed");
     }
 }
 
-async fn examine_one(shared: Rc<SharedState>, content: Fingerprint, cut: Cut) {
+async fn probe_endpoint(shared: Rc<SharedState>, fingerprint: Fingerprint, broken_run: BrokenRun) {
     let at = clock::now();
-    let Err(error) = tcp::connect(cut.address, PROBE_TIMEOUT).await else {
+    let Err(error) = tcp::connect(broken_run.address, PROBE_TIMEOUT).await else {
         return;
     };
     if error.kind() != ErrorKind::ConnectionRefused {
-        let endpoint = cut.endpoint;
-        tracing::info!(%content, endpoint, %error, "whether the endpoint has ended is open");
+        let endpoint = broken_run.endpoint;
+        tracing::info!(content = %fingerprint, endpoint, %error, "endpoint unreachable, crash not confirmed");
         return;
     }
     metrics::counter!(metric::GATEWAY_CRASHES).increment(1);
     let crash = quarantine::Crash {
-        endpoint: cut.endpoint,
-        sent: cut.sent,
+        endpoint: broken_run.endpoint,
+        sent: broken_run.sent,
         at,
     };
-    shared.note_crash(content, &crash, clock::now());
+    shared.note_crash(fingerprint, &crash, clock::now());
 }
--- a/crates/gateway/src/decide.rs
+++ b/crates/gateway/src/decide.rs
@@ -1,13 +1,13 @@
-//! What follows when an endpoint did not answer a request.
+//! Decides how to continue after an endpoint failed to answer a request.
 
 use crate::refusal::Refusal;
 use crate::route::RetryPolicy;
 
-/// The most endpoints in a row that may be out of reach before a request is
-/// given back; none of them has seen it.
-const UNREACHED_MAX: u32 = 3;
+/// The most consecutive unreachable endpoints before the request is refused; none of
+/// them has received it.
+const UNREACHABLE_MAX: u32 = 3;
 
-/// Why an endpoint did not answer.
+/// Why an endpoint gave no answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Failure {
     /// The request was never written to a connection.
@@ -18,79 +18,79 @@
     Uncertain,
 }
 
-/// What to do next.
+/// The next step of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Next {
-    /// Send it to another endpoint; this is a repeated send.
+    /// Send it to another endpoint; this counts as a retry.
     Repeat,
-    /// Send it to another endpoint; the first has not seen it.
+    /// Send it to another endpoint; the first one has not received it.
     Redirect,
-    /// Answer the caller.
+    /// Respond to the caller.
     Give(Refusal),
 }
 
-/// The course of one request over endpoints.
+/// The lifecycle of one request over its attempts at endpoints.
 #[derive(Debug, Clone, Copy)]
 pub struct Lifecycle {
-    repeat: RetryPolicy,
-    attempts: u32,
+    retry_policy: RetryPolicy,
+    max_attempts: u32,
     sent: u32,
-    unreached: u32,
+    unreachable: u32,
     uncertain: bool,
 }
 
 impl Lifecycle {
-    /// Creates the course of a request that may be sent to `attempts` endpoints.
+    /// Creates the lifecycle of a request that may be sent to `max_attempts` endpoints.
     #[must_use]
-    pub const fn new(repeat: RetryPolicy, attempts: u32) -> Self {
+    pub const fn new(retry_policy: RetryPolicy, max_attempts: u32) -> Self {
         Self {
-            repeat,
-            attempts,
+            retry_policy,
+            max_attempts,
             sent: 0,
-            unreached: 0,
+            unreachable: 0,
             uncertain: false,
         }
     }
 
-    /// Returns how many endpoints the request was sent to.
+    /// Returns the number of endpoints that the request was sent to.
     #[must_use]
     pub const fn sent(&self) -> u32 {
         self.sent
     }
 
-    /// Tells whether it may be sent to another endpoint.
+    /// Returns whether the request may be sent to another endpoint.
     #[must_use]
     pub const fn may_retry(&self) -> bool {
-        self.sent < self.attempts
+        self.sent < self.max_attempts
     }
 
-    /// Notes that the request is being written to an endpoint.
+    /// Records that the request is being written to an endpoint.
     pub const fn record_send(&mut self) {
         self.sent += 1;
     }
 
-    /// Returns what follows a failure. `affordable` tells whether the budget
-    /// allows another send; it is asked only if one is due.
+    /// Returns the next step after a failure. `affordable`, which returns whether the
+    /// budget allows a retry and charges it, is called only if one is due.
     pub fn after_failure(&mut self, failure: Failure, affordable: impl FnOnce() -> bool) -> Next {
         match failure {
             Failure::Unsent => {
                 self.sent = self.sent.saturating_sub(1);
-                self.unreached += 1;
-                if self.unreached <= UNREACHED_MAX {
+                self.unreachable += 1;
+                if self.unreachable <= UNREACHABLE_MAX {
                     return Next::Redirect;
                 }
             }
             Failure::Refused => {}
             Failure::Uncertain => self.uncertain = true,
         }
-        let allowed = !(self.uncertain && self.repeat == RetryPolicy::Never);
-        if failure != Failure::Unsent && allowed && self.sent < self.attempts && affordable() {
+        let allowed = !(self.uncertain && self.retry_policy == RetryPolicy::Never);
+        if failure != Failure::Unsent && allowed && self.sent < self.max_attempts && affordable() {
             return Next::Repeat;
         }
         Next::Give(self.exhausted())
     }
 
-    /// Returns the answer when no endpoint is left to try.
+    /// Returns the response when no endpoint is left to try.
     #[must_use]
     pub const fn exhausted(&self) -> Refusal {
         if self.uncertain {
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Returns the answer when the time is up while an endpoint may be at
-    /// work (`sending`) or not.
+    /// Returns the response when the deadline has passed. `sending` states whether an
+    /// endpoint may be processing the request.
     #[must_use]
     pub const fn timed_out(&self, sending: bool) -> Refusal {
         if sending || self.uncertain {
--- a/crates/gateway/src/events.rs
+++ b/crates/gateway/src/events.rs
@@ -1,21 +1,21 @@
-//! The boundaries of a stream's events.
+//! Splits streams at the boundaries of their events.
 
 use bytes::{Bytes, BytesMut};
 
-/// The most bytes of one event that are held back; longer ones are passed on
-/// as they come, and the stream then can't be resumed within them.
+/// The most bytes of an incomplete event that are buffered. A longer event is
+/// relayed as it arrives, and the stream can't be resumed within it.
 const EVENT_MAX: usize = 64 * 1024;
 
-/// Splits a stream after whole events, so that what a caller has got can be
-/// continued by another endpoint.
+/// Splits a stream after complete events. A caller that has received only
+/// complete events can be continued by another endpoint.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct Splitter {
     partial: BytesMut,
     last: Option<u64>,
 }
 
-impl Events {
-    /// Creates the boundaries of a stream that goes on after the event `last`.
+impl Splitter {
+    /// Creates a splitter for a stream that continues after the event `last`.
     #[must_use]
     pub fn new(last: Option<u64>) -> Self {
         Self {
@@ -24,24 +24,24 @@
         }
     }
 
-    /// Returns the number of the last whole event.
+    /// Returns the id of the last complete event.
     #[must_use]
     pub const fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Tells whether an event is incomplete.
+    /// Returns whether an incomplete event is buffered.
     #[must_use]
     pub fn is_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Drops an incomplete event, which another endpoint will send whole.
+    /// Drops an incomplete event, which another endpoint will send completely.
     pub fn drop_partial(&mut self) {
         self.partial.clear();
     }
 
-    /// Takes bytes and returns all whole events that are there now.
+    /// Adds bytes and returns all events that are complete.
     pub fn push(&mut self, data: &Bytes) -> Bytes {
         let whole = if self.partial.is_empty() {
             let end = boundary(data);
@@ -52,14 +52,14 @@
             let end = boundary(&self.partial);
             self.partial.split_to(end).freeze()
         };
-        self.number(&whole);
+        self.record_ids(&whole);
         if self.partial.len() > EVENT_MAX {
             return self.partial.split().freeze();
         }
         whole
     }
 
-    fn number(&mut self, events: &[u8]) {
+    fn record_ids(&mut self, events: &[u8]) {
         let lines = events.split(|&byte| byte == b'\n');
         let ids = lines.filter_map(|line| line.strip_prefix(b"id:"));
         let mut numbers = ids.filter_map(|id| std::str::from_utf8(id).ok()?.trim().parse().ok());
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One send of a request to one endpoint.
+//! Sends a request to one endpoint.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -13,65 +13,65 @@
 
 use crate::admission::{self, Forecast, Targets};
 use crate::channel;
-use crate::crash::Cut;
+use crate::crash::BrokenRun;
 use crate::decide::{Failure, Lifecycle};
 use crate::dialect::Dialect;
 use crate::endpoint::Endpoint;
 use crate::fleet::Criteria;
 use crate::journal::millis;
 use crate::knowledge::SharedState;
-use crate::pool::{self, Kept, Lease, Reuse};
+use crate::pool::{self, KeepAlive, Lease, Reuse};
 use crate::request::Call;
 use crate::route::RetryPolicy;
 use crate::running::Running;
 use cactusnotch_throttle::Header;
 
-/// A sound head of an answer, with all that is needed to read the rest.
+/// The validated head of a response, with everything needed to read its body.
 #[derive(Debug)]
 pub(crate) struct Reply {
     pub(crate) head: Parts,
     pub(crate) body: Incoming,
     pub(crate) lease: Lease,
     pub(crate) running: Running,
-    /// What the endpoint does with the connection after its answer.
-    pub(crate) kept: Kept,
+    /// Whether the endpoint keeps the connection open after its response.
+    pub(crate) keep_alive: KeepAlive,
 }
 
-/// How a send ended without an answer.
+/// A send that got no usable response.
 #[derive(Debug)]
 pub(crate) struct Failed {
     pub(crate) failure: Failure,
-    /// What happened, for the log.
+    /// The cause, for the log.
     pub(crate) cause: String,
-    /// The run, if its connection broke before it had given anything.
-    pub(crate) cut: Option<Cut>,
+    /// The run to be probed for a crash of its endpoint, if its connection failed.
+    pub(crate) broken_run: Option<BrokenRun>,
 }
 
-/// Why no endpoint was chosen.
+/// Why no endpoint was selected.
 #[derive(Debug)]
 pub(crate) enum Unserved {
-    /// There is none to choose.
+    /// No endpoint is eligible.
     None(choice::Error),
-    /// All are so full that the request would be late.
+    /// All endpoints are so full that the request would be late.
     Busy,
-    /// The request is held.
+    /// The request is quarantined.
     Held,
 }
 
-/// Chooses an endpoint and counts the request there.
+/// Selects an endpoint and counts the request there.
 pub(crate) fn choose(
     shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     now: Instant,
 ) -> Result<(Endpoint, Running), Unserved> {
-    let service = &call.judged.service;
-    let homes = call.judged.allowed_regions.as_ref();
-    let within = homes.map(|homes| shared.options().regions.data_centres(homes));
+    let service = &call.resolved.service;
+    let regions = call.resolved.allowed_regions.as_ref();
+    let within = regions.map(|regions| shared.options().regions.data_centres(regions));
     let criteria = Criteria {
         tokens: call.head.prompt_tokens,
         tried,
-        may_probe: call.judged.route.retry_policy == RetryPolicy::Idempotent,
+        may_probe: call.resolved.route.retry_policy == RetryPolicy::Idempotent,
         within: within.as_deref(),
     };
     if shared.quarantined_for(call, now).is_some() {
@@ -101,7 +101,7 @@
         sent: None,
         first: None,
     };
-    // What has been sent once is not worth less by now.
+    // Admission control applies to the first send only: a retry is worth no less.
     let admitted = !tried.is_empty() || admits(shared, call, &forecast, now);
     if admitted {
         Ok((endpoint, running))
@@ -110,15 +110,15 @@
     }
 }
 
-/// Tells whether an endpoint that was not tried has a free slot for a request, and
-/// sending it there can be paid for.
+/// Returns whether an untried endpoint has a free slot for the request, and the retry
+/// budget allows sending it there.
 pub(crate) fn may_move(
     shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     now: Instant,
 ) -> bool {
-    let service = &call.judged.service;
+    let service = &call.resolved.service;
     if !shared.budgets.borrow_mut().can_retry(service, now) {
         return false;
     }
@@ -126,55 +126,56 @@
     chosen.is_ok_and(|(_, running)| !running.forecast.full)
 }
 
-/// Waits until a request should go on elsewhere: nothing has come for a while, its
-/// endpoint is lost, and another one has room.
-pub(crate) async fn lost(
+/// Waits until the request should move to another endpoint: nothing has arrived for
+/// [`STALL_TIME`], its endpoint is lost, and another one has a free slot.
+pub(crate) async fn wait_until_lost(
     shared: &Rc<SharedState>,
     call: &Call,
     tried: &[name::Endpoint],
     endpoint: &name::Endpoint,
 ) {
-    tokio::time::sleep(STALLED).await;
+    tokio::time::sleep(STALL_TIME).await;
     loop {
         let now = clock::now();
         let lost = shared.fleet.borrow().is_lost(endpoint.as_str(), now);
         if lost && may_move(shared, call, tried, now) {
             return;
         }
-        tokio::time::sleep(LOOK_AGAIN).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Returns what a request has to expect at the endpoint that was chosen.
+/// Returns the predicted service of a request at the selected endpoint.
 fn forecast(shared: &SharedState, choice: &choice::Choice, now: Instant) -> Forecast {
     Forecast {
         full: choice.reason == choice::Reason::Full,
-        wait: choice.wait,
-        fill: choice.utilisation,
+        slot_wait: choice.wait,
+        utilisation: choice.utilisation,
         first: choice.predicted,
-        pass: shared.fleet.borrow().pass(choice.endpoint.as_str(), now),
+        pass_time: shared.fleet.borrow().pass(choice.endpoint.as_str(), now),
     }
 }
 
-/// Tells whether a request is let in.
+/// Returns whether admission control admits the request.
 fn admits(shared: &SharedState, call: &Call, forecast: &Forecast, now: Instant) -> bool {
-    let route = &call.judged.route;
-    let terms = Targets {
-        target: route.target_latency,
-        pause: route.max_event_gap,
+    let route = &call.resolved.route;
+    let targets = Targets {
+        first_event: route.target_latency,
+        max_event_gap: route.max_event_gap,
     };
     let draw = shared.rng.borrow_mut().random();
-    admission::admits(call.caller(now), forecast, &terms, draw)
+    admission::admits(call.caller(now), forecast, &targets, draw)
 }
 
-/// The time without an event after which it is looked whether the endpoint is lost: far
-/// more than the longest pause on time, and far less than the two seconds after which
-/// callers leave, whose requests a frozen host can't be told to drop.
-const STALLED: Duration = Duration::from_millis(500);
-/// How often it is looked again.
-const LOOK_AGAIN: Duration = Duration::from_millis(100);
+/// The time without an event after which the endpoint is checked for being lost. It is
+/// far longer than the longest event gap that is on time, and far shorter than the two
+/// seconds after which callers disconnect: a frozen host can't be notified to drop
+/// their requests.
+const STALL_TIME: Duration = Duration::from_millis(500);
+/// The interval at which the endpoint is checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Sends the request to `endpoint` and waits for the head of its answer.
+/// Sends the request to `endpoint` and waits for the head of the response.
 pub(crate) async fn send<D: Dialect>(
     shared: &Rc<SharedState>,
     call: &Call,
@@ -210,19 +211,22 @@
     first: bool,
     running: &mut Running,
 ) -> Result<Lease, Failed> {
-    // A kept connection may be dropped already, or hold an extra answer. A
-    // request that can't be sent twice isn't risked on one, nor is the last
-    // chance of one that can.
-    let reuse = match call.judged.route.retry_policy {
+    // The endpoint may already have closed a kept connection, or have left an extra
+    // response on it. A request that must not be sent twice is not risked on one, nor
+    // is a retry, which may be the last attempt.
+    let reuse = match call.resolved.route.retry_policy {
         RetryPolicy::Idempotent | RetryPolicy::Resume if first => Reuse::Allowed,
         RetryPolicy::Never | RetryPolicy::Idempotent | RetryPolicy::Resume => Reuse::Never,
     };
-    let most = shared.connections(&endpoint.service);
+    let max_open = shared.connections(&endpoint.service);
     let pool = shared.pool.clone();
-    pool.take(endpoint, most, reuse, clock::now())
+    pool.take(endpoint, max_open, reuse, clock::now())
         .await
         .map_err(|error| match error {
-            pool::Error::Full => Failed::new(Failure::Unsent, "the entry's connections are in use"),
+            pool::Error::Full => Failed::new(
+                Failure::Unsent,
+                "the entry's connections to the endpoint are all in use",
+            ),
             pool::Error::Connect(error) => {
                 running.failed();
                 Failed::new(Failure::Unsent, &error.to_string())
@@ -230,7 +234,7 @@
         })
 }
 
-/// Checks whether the answer belongs to the request and is the endpoint's.
+/// Validates that the response belongs to the request and comes from the endpoint.
 fn check<D: Dialect>(
     call: &Call,
     endpoint: &Endpoint,
@@ -257,38 +261,38 @@
         };
         return Err(Failed::new(Failure::Refused, &cause));
     }
-    let doubt = if info.foreign {
+    let fault = if info.foreign {
         Some("an answer to another request")
     } else if head.headers.contains_key(header::CONTENT_ENCODING) {
-        Some("an encoded answer")
+        Some("an answer with a content encoding")
     } else if !info.signed {
         Some("an unsigned answer")
     } else {
         None
     };
-    if let Some(cause) = doubt {
+    if let Some(cause) = fault {
         running.failed();
         return Err(Failed::new(Failure::Uncertain, cause));
     }
-    if worth_repeating(head.status, call.judged.route.retry_policy) {
+    if is_retryable(head.status, call.resolved.route.retry_policy) {
         running.failed();
     }
-    let kept = kept(&head);
+    let keep_alive = keep_alive(&head);
     Ok(Reply {
         head,
         body,
         lease,
         running,
-        kept,
+        keep_alive,
     })
 }
 
-/// Reads how long the endpoint keeps the connection.
-fn kept(head: &Parts) -> Kept {
+/// Returns whether, and for how long, the endpoint keeps the connection open.
+fn keep_alive(head: &Parts) -> KeepAlive {
     let text = |name: &str| head.headers.get(name).and_then(|value| value.to_str().ok());
     let closes = text("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
     if closes || head.version == http::Version::HTTP_10 {
-        return Kept::Closed;
+        return KeepAlive::Closed;
     }
     let stated = text("keep-alive").and_then(|value| {
         let seconds = value
@@ -296,7 +300,7 @@
             .find_map(|part| part.trim().strip_prefix("timeout="))?;
         seconds.trim().parse().ok().map(Duration::from_secs)
     });
-    stated.map_or(Kept::Open, Kept::For)
+    stated.map_or(KeepAlive::Open, KeepAlive::For)
 }
 
 impl Failed {
@@ -304,22 +308,22 @@
         Self {
             failure,
             cause: cause.to_owned(),
-            cut: None,
+            broken_run: None,
         }
     }
 
-    /// Returns that the connection of a run has broken, so that whether it ran is open.
+    /// Creates the failure of a run whose connection broke: the request may have run.
     pub(crate) fn broken(running: &mut Running, cause: &str) -> Self {
         running.failed();
         Self {
-            cut: running.cut(clock::now()),
+            broken_run: running.broken_run(clock::now()),
             ..Self::new(Failure::Uncertain, cause)
         }
     }
 }
 
-/// Tells whether an answer is the endpoint's own failure of a request that
-/// may be repeated elsewhere.
-pub(crate) fn worth_repeating(status: StatusCode, repeat: RetryPolicy) -> bool {
-    status.is_server_error() && repeat == RetryPolicy::Idempotent
+/// Returns whether a response is a server error for a request that may be retried at
+/// another endpoint.
+pub(crate) fn is_retryable(status: StatusCode, retry_policy: RetryPolicy) -> bool {
+    status.is_server_error() && retry_policy == RetryPolicy::Idempotent
 }
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -1,8 +1,8 @@
-//! The log of a process, written beside its work.
+//! The log output of a process, written in the background.
 //!
-//! Lines are put into memory and written by a thread of their own, so that a
-//! reader of standard output that stalls holds no request up. What doesn't fit
-//! is dropped and counted, and the count is logged.
+//! Lines are buffered in memory and written by a separate thread. A stalled
+//! reader of standard output thus blocks no request. Lines that don't fit into
+//! the buffer are dropped and counted, and the count is logged.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Condvar, Mutex, PoisonError};
@@ -12,32 +12,33 @@
 use tracing::level_filters::LevelFilter;
 use tracing_subscriber::fmt::MakeWriter;
 
-/// The most bytes of lines that wait to be written: some thousand lines, and
-/// two seconds of an entry's lines at a thousand requests a second.
-const WAITING_MAX: usize = 512 * 1024;
-/// How long lines are gathered before they are written together: a wake-up
-/// and a system call for each line would cost more than its text.
-const GATHERING: Duration = Duration::from_millis(250);
+/// The most bytes of buffered lines: some thousand lines, or two seconds of an
+/// entry's lines at a thousand requests a second.
+const PENDING_BYTES_MAX: usize = 512 * 1024;
+/// How long lines are collected before they are written together. A wake-up and
+/// a system call for each line would cost more than formatting it.
+const FLUSH_INTERVAL: Duration = Duration::from_millis(250);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct Pending {
     bytes: Vec<u8>,
     dropped: u64,
 }
 
-/// The lines that wait to be written.
+/// A buffer of log lines with a background writer.
 #[derive(Debug, Clone, Default)]
 pub struct BufferedLog {
-    shared: Arc<(Mutex<Waiting>, Condvar)>,
+    shared: Arc<(Mutex<Pending>, Condvar)>,
 }
 
 impl BufferedLog {
-    /// Starts to log JSON lines of `level` and above to standard output.
+    /// Installs the buffer as the global log of the process, which writes JSON
+    /// lines of `level` and above to standard output.
     ///
     /// # Errors
     ///
-    /// Returns an error if the process has a log already or can't start the
-    /// writing thread.
+    /// Returns an error if the process already has a log or the writer thread
+    /// can't be started.
     pub fn start(level: LevelFilter) -> io::Result<Self> {
         let journal = Self::default();
         let subscriber = cactusnotch_telemetry::log::json(level, journal.clone());
@@ -45,37 +46,37 @@
         let writer = journal.clone();
         std::thread::Builder::new()
             .name("log".to_owned())
-            .spawn(move || writer.write_on())?;
+            .spawn(move || writer.run())?;
         Ok(journal)
     }
 
-    /// Writes what waits now; called before the process ends.
+    /// Writes all buffered lines. Call this before the process exits.
     pub fn flush(&self) {
         let bytes = self.take();
-        // A reader that is gone can't be told.
+        // A closed standard output can't be reported anywhere.
         let _: io::Result<()> = io::stdout().lock().write_all(&bytes);
     }
 
-    fn write_on(&self) {
+    fn run(&self) {
         loop {
-            self.wait();
-            std::thread::sleep(GATHERING);
+            self.wait_for_lines();
+            std::thread::sleep(FLUSH_INTERVAL);
             self.flush();
         }
     }
 
-    fn wait(&self) {
+    fn wait_for_lines(&self) {
         let (lock, wake) = &*self.shared;
         let guard = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        drop(wake.wait_while(guard, |waiting| waiting.bytes.is_empty()));
+        drop(wake.wait_while(guard, |pending| pending.bytes.is_empty()));
     }
 
     fn take(&self) -> Vec<u8> {
         let (lock, _) = &*self.shared;
-        let mut waiting = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        let mut bytes = std::mem::take(&mut waiting.bytes);
-        let dropped = std::mem::take(&mut waiting.dropped);
-        drop(waiting);
+        let mut pending = lock.lock().unwrap_or_else(PoisonError::into_inner);
+        let mut bytes = std::mem::take(&mut pending.bytes);
+        let dropped = std::mem::take(&mut pending.dropped);
+        drop(pending);
         if dropped > 0 {
             metrics::counter!(metric::LOG_LINES_DROPPED).increment(dropped);
             bytes.extend_from_slice(
@@ -92,14 +93,14 @@
 impl Write for &BufferedLog {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
         let (lock, wake) = &*self.shared;
-        let mut waiting = lock.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.bytes.len() + line.len() > WAITING_MAX {
-            waiting.dropped += 1;
+        let mut pending = lock.lock().unwrap_or_else(PoisonError::into_inner);
+        if pending.bytes.len() + line.len() > PENDING_BYTES_MAX {
+            pending.dropped += 1;
             return Ok(line.len());
         }
-        let first = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line);
-        drop(waiting);
+        let first = pending.bytes.is_empty();
+        pending.bytes.extend_from_slice(line);
+        drop(pending);
         if first {
             wake.notify_one();
         }
@@ -119,7 +120,7 @@
     }
 }
 
-/// Returns a time as log lines state it, in whole milliseconds.
+/// Converts a duration to whole milliseconds, the unit of log lines.
 pub(crate) fn millis(time: Duration) -> u64 {
     u64::try_from(time.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/gateway/src/reload.rs
+++ b/crates/gateway/src/reload.rs
@@ -1,4 +1,4 @@
-//! Settings that change while a process runs.
+//! Reloads settings while a process is running.
 
 use std::fmt::Display;
 use std::io;
@@ -10,11 +10,12 @@
 use crate::knowledge::SharedState;
 use crate::options::Options;
 
-/// How often settings are read without a signal; they may change silently, and
-/// reading two kilobytes costs some microseconds.
-const READ_EVERY: Duration = Duration::from_secs(2);
+/// The interval at which settings are read without a signal. They may change
+/// without one, and reading two kilobytes takes some microseconds.
+const POLL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Calls `changed` at each signal to reload (`true`) and in between.
+/// Calls `changed` at each reload signal (with `true`) and at regular
+/// intervals.
 ///
 /// # Errors
 ///
@@ -24,13 +25,13 @@
     loop {
         let signalled = tokio::select! {
             _ = hangup.recv() => true,
-            () = tokio::time::sleep(READ_EVERY) => false,
+            () = tokio::time::sleep(POLL_INTERVAL) => false,
         };
         changed(signalled);
     }
 }
 
-/// Takes new settings in whenever `read` returns other ones.
+/// Applies new settings whenever the result of `read` changes.
 pub(crate) async fn run<E: Display>(
     shared: Rc<SharedState>,
     read: impl Fn() -> Result<Options, E>,
@@ -41,12 +42,12 @@
         match &read {
             Ok(new) if *new == *shared.options() => {
                 if signalled {
-                    tracing::info!("reload asked for, settings are the same");
+                    tracing::info!("reload requested, settings unchanged");
                 }
             }
-            Ok(new) => take(&shared, new.clone()),
+            Ok(new) => apply(&shared, new.clone()),
             Err(error) if signalled || !failing => {
-                tracing::error!(%error, "settings not taken, the last good ones stay");
+                tracing::error!(%error, "settings not taken, the previous ones stay in force");
             }
             Err(_) => {}
         }
@@ -55,15 +56,15 @@
     .await
 }
 
-fn take(shared: &SharedState, new: Options) {
+fn apply(shared: &SharedState, new: Options) {
     let old = shared.options();
-    let moved = old.listen != new.listen
+    let addresses_changed = old.listen != new.listen
         || old.readiness != new.readiness
         || old.resolver != new.resolver
         || old.peers != new.peers
         || old.metrics != new.metrics;
-    if moved {
-        tracing::warn!("new addresses are used from the next start on");
+    if addresses_changed {
+        tracing::warn!("changed addresses take effect at the next start");
     }
     tracing::info!(grace = ?new.grace, revocation = ?new.revocation_bound, retry_ratio = new.retry_ratio, "settings reloaded");
     shared.set_options(new);
--- a/crates/gateway/src/request.rs
+++ b/crates/gateway/src/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request, read whole and judged.
+//! A caller's request, completely received and resolved.
 
 use std::cell::OnceCell;
 use std::rc::Rc;
@@ -20,14 +20,14 @@
 use crate::refusal::Refusal;
 use crate::route::Route;
 
-/// The time that a caller waits who doesn't say, unless the route is shorter.
-const PATIENCE: Duration = Duration::from_mins(1);
-/// The least urgent value that endpoints take.
+/// The time budget of a caller that states none, unless the route's timeout is shorter.
+const DEFAULT_TIME_BUDGET: Duration = Duration::from_mins(1);
+/// The lowest urgency that endpoints accept.
 const URGENCY_MAX: u32 = 9;
-/// How many ranks of routes fit into one rank of an organisation.
+/// The number of route priorities within one priority of an organisation.
 const URGENCY_STEP: u32 = 3;
 
-/// The headers that concern one connection only.
+/// The hop-by-hop headers, which apply to a single connection.
 const HOP_BY_HOP: [HeaderName; 6] = [
     header::CONNECTION,
     header::PROXY_AUTHORIZATION,
@@ -36,49 +36,49 @@
     header::TRANSFER_ENCODING,
     header::UPGRADE,
 ];
-/// The same, without a constant of the library.
+/// Hop-by-hop headers for which the library has no constant.
 const HOP_BY_HOP_NAMES: [&str; 2] = ["keep-alive", "proxy-connection"];
 
-/// What a request's head led to, before its body is read.
+/// What a request's head resolves to in the configuration.
 #[derive(Debug)]
-pub(crate) struct Judged {
+pub(crate) struct Resolved {
     pub(crate) route: Route,
     pub(crate) service: String,
     pub(crate) organisation: Option<Organisation>,
-    /// The regions whose endpoints may get it, `None` for all.
+    /// The regions whose endpoints may get the request; `None` for all.
     pub(crate) allowed_regions: Option<Vec<String>>,
 }
 
-/// A caller's request, read whole and judged.
+/// A caller's request, completely received and resolved.
 #[derive(Debug)]
 pub(crate) struct Call {
     pub(crate) method: Method,
     pub(crate) target: PathAndQuery,
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The memory that it takes up.
-    #[expect(dead_code, reason = "it is free again once the call is dropped")]
-    pub(crate) room: Reservation,
+    /// The memory reserved for the request.
+    #[expect(dead_code, reason = "dropping the call releases the memory")]
+    pub(crate) reservation: Reservation,
     pub(crate) head: Head,
-    pub(crate) judged: Judged,
+    pub(crate) resolved: Resolved,
     /// Whether the caller was refused before.
     pub(crate) has_returned: bool,
     pub(crate) version: u64,
     pub(crate) arrived: Instant,
-    /// When the final answer is due.
-    pub(crate) until: Instant,
-    /// Worked out only when it is asked for.
-    pub(crate) digest: OnceCell<Fingerprint>,
+    /// When the final response is due.
+    pub(crate) deadline: Instant,
+    /// Computed on first use.
+    pub(crate) fingerprint: OnceCell<Fingerprint>,
 }
 
 /// Finds the route and the organisation of a request.
-pub(crate) fn judge(
+pub(crate) fn resolve(
     configuration: &Rc<Configuration>,
     host: Option<&str>,
     path: &str,
     head: &Head,
     draw: u32,
-) -> Result<Judged, Refusal> {
+) -> Result<Resolved, Refusal> {
     let host = host.ok_or(Refusal::Malformed)?;
     let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
     let route = configuration.route(host, path).ok_or(Refusal::NoRoute)?;
@@ -88,18 +88,18 @@
         None => return Err(Refusal::NoKey),
     };
     let service = route.service(draw).ok_or(Refusal::NoRoute)?;
-    let bound = organisation.map_or_else(Vec::new, |o| o.allowed_regions.clone());
-    Ok(Judged {
-        allowed_regions: both(&route.allowed_regions, &bound),
+    let organisation_regions = organisation.map_or_else(Vec::new, |o| o.allowed_regions.clone());
+    Ok(Resolved {
+        allowed_regions: intersect(&route.allowed_regions, &organisation_regions),
         service: service.to_owned(),
         organisation: organisation.cloned(),
         route: route.clone(),
     })
 }
 
-/// Returns the regions that both a route and an organisation allow, each of which allows all
-/// if it names none; `None` for all.
-fn both(route: &[String], organisation: &[String]) -> Option<Vec<String>> {
+/// Returns the regions that both a route and an organisation allow; `None` for all. Either
+/// of them allows all regions if it lists none.
+fn intersect(route: &[String], organisation: &[String]) -> Option<Vec<String>> {
     match (route.is_empty(), organisation.is_empty()) {
         (true, true) => None,
         (true, false) => Some(organisation.to_vec()),
@@ -111,8 +111,8 @@
     }
 }
 
-/// Drops the headers that concern one connection only.
-pub(crate) fn strip(headers: &mut HeaderMap) {
+/// Removes the hop-by-hop headers.
+pub(crate) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<_> = headers
         .get_all(header::CONNECTION)
         .iter()
@@ -129,18 +129,21 @@
 }
 
 impl Call {
-    /// Returns when the final answer of a request that arrived at `arrived`
-    /// is due.
-    pub(crate) fn due(route: &Route, head: &Head, arrived: Instant) -> Instant {
-        arrived + head.time_budget.unwrap_or(PATIENCE).min(route.timeout)
+    /// Returns the deadline of a request that arrived at `arrived`.
+    pub(crate) fn deadline_of(route: &Route, head: &Head, arrived: Instant) -> Instant {
+        arrived
+            + head
+                .time_budget
+                .unwrap_or(DEFAULT_TIME_BUDGET)
+                .min(route.timeout)
     }
 
-    /// Returns what other attempts of this request have in common with it.
+    /// Returns the fingerprint that all attempts of this request share.
     pub(crate) fn fingerprint(&self) -> Fingerprint {
-        *self.digest.get_or_init(|| {
+        *self.fingerprint.get_or_init(|| {
             let host = self.headers.get(header::HOST);
             Fingerprint::of(&content::Parts {
-                organisation: self.judged.organisation.as_ref().map(|o| o.name.as_str()),
+                organisation: self.resolved.organisation.as_ref().map(|o| o.name.as_str()),
                 method: &self.method,
                 host: host.map(http::HeaderValue::as_bytes).unwrap_or_default(),
                 target: self.target.as_str(),
@@ -149,8 +152,8 @@
         })
     }
 
-    /// Returns whether the caller comes for the first time, and how long it has waited
-    /// otherwise.
+    /// Returns whether this is a first attempt or a retry, and for a retry how long it has
+    /// waited.
     pub(crate) fn caller(&self, now: Instant) -> Caller {
         if self.has_returned {
             Caller::Returned {
@@ -161,16 +164,16 @@
         }
     }
 
-    /// Returns the urgency that endpoints are told: the organisation's rank
-    /// goes before the route's.
+    /// Returns the urgency that is sent to endpoints. The organisation's priority takes
+    /// precedence over the route's.
     fn urgency(&self) -> u8 {
-        let route = self.judged.route.priority.min(URGENCY_STEP - 1);
-        let organisation = self.judged.organisation.as_ref().and_then(|o| o.priority);
+        let route = self.resolved.route.priority.min(URGENCY_STEP - 1);
+        let organisation = self.resolved.organisation.as_ref().and_then(|o| o.priority);
         let urgency = organisation.unwrap_or(1).saturating_mul(URGENCY_STEP) + route;
         u8::try_from(urgency.min(URGENCY_MAX)).unwrap_or(u8::MAX)
     }
 
-    /// Writes the request for an endpoint.
+    /// Creates the request that is sent to an endpoint.
     pub(crate) fn outgoing<D: Dialect>(
         &self,
         endpoint: &Endpoint,
@@ -180,10 +183,10 @@
         let mut headers = self.headers.clone();
         let hop = Hop {
             endpoint: &endpoint.instance,
-            organisation: self.judged.organisation.as_ref().map(|o| o.name.as_str()),
-            time_left: Some(self.until.saturating_duration_since(now)),
+            organisation: self.resolved.organisation.as_ref().map(|o| o.name.as_str()),
+            time_left: Some(self.deadline.saturating_duration_since(now)),
             last_event,
-            urgency: self.judged.route.streaming.then(|| self.urgency()),
+            urgency: self.resolved.route.streaming.then(|| self.urgency()),
         };
         D::forward(&mut headers, &hop);
         let mut request = Request::new(Full::new(self.body.clone()));
--- a/crates/gateway/src/server.rs
+++ b/crates/gateway/src/server.rs
@@ -1,4 +1,4 @@
-//! The addresses that an entry listens on.
+//! The listeners of an entry.
 
 use std::convert::Infallible;
 use std::future::Future;
@@ -22,14 +22,14 @@
 use crate::knowledge::SharedState;
 use crate::tcp;
 
-/// How long callers keep a list of addresses: short, so that they leave a
-/// stopping entry soon, yet their questions stay few.
-const LIST_TIME: Duration = Duration::from_secs(1);
-/// The pause after a connection could not be accepted, for want of
-/// descriptors as a rule.
+/// How long callers cache a list of addresses: short enough to leave a stopping entry
+/// soon, long enough to keep the rate of queries low.
+const ADDRESS_TTL: Duration = Duration::from_secs(1);
+/// The pause after a connection could not be accepted, usually because file descriptors
+/// ran out.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Accepts connections for as long as the process lives.
+/// Accepts connections until the process exits.
 pub(crate) async fn accept<F>(listener: TcpListener, serve: impl Fn(TcpStream) -> F)
 where
     F: Future<Output = ()> + 'static,
@@ -38,7 +38,7 @@
         match listener.accept().await {
             Ok((stream, _)) => match tcp::tune(&stream) {
                 Ok(()) => drop(tokio::task::spawn_local(serve(stream))),
-                Err(error) => tracing::debug!(%error, "connection closed at once"),
+                Err(error) => tracing::debug!(%error, "socket options not set, connection closed"),
             },
             Err(error) => {
                 tracing::warn!(%error, "connection not accepted");
@@ -63,7 +63,7 @@
     .await;
 }
 
-/// Answers questions for readiness and for addresses.
+/// Serves queries for readiness and for addresses.
 pub(crate) async fn queries<D: Dialect>(shared: Rc<SharedState>, listener: TcpListener) {
     accept(listener, |stream| {
         let shared = Rc::clone(&shared);
@@ -72,7 +72,7 @@
     .await;
 }
 
-/// Serves the metrics of a process on `listener` for as long as it lives.
+/// Serves the metrics of a process on `listener` until the process exits.
 pub async fn metrics(exporter: Exporter, listener: TcpListener) {
     accept(listener, |stream| {
         let exporter = exporter.clone();
@@ -83,7 +83,7 @@
     .await;
 }
 
-/// Answers the requests of one connection from memory.
+/// Serves the requests of one connection with immediate responses.
 pub(crate) async fn answer(
     stream: TcpStream,
     respond: impl Fn(&Request<Incoming>) -> Response<Full<Bytes>>,
@@ -98,13 +98,13 @@
     }
 }
 
-/// Returns the regions whose entries a caller may be sent to, `None` for all: those of the
-/// host's routes, if any is bound to some, and the caller's own.
-fn allowed_regions(shared: &SharedState, query: &AddressQuery) -> Option<Vec<String>> {
+/// Returns the regions whose entries a caller may use; `None` for all. These are the
+/// regions allowed by the host's routes, if any restricts them, and the caller's own.
+fn entry_regions(shared: &SharedState, query: &AddressQuery) -> Option<Vec<String>> {
     let configuration = shared.configuration()?;
-    let homes = configuration.allowed_regions(query.host.as_deref()?)?;
-    let homes = homes.into_iter().chain(query.region.as_deref());
-    Some(homes.map(str::to_owned).collect())
+    let regions = configuration.allowed_regions(query.host.as_deref()?)?;
+    let regions = regions.into_iter().chain(query.region.as_deref());
+    Some(regions.map(str::to_owned).collect())
 }
 
 fn answer_query<D: Dialect>(
@@ -129,24 +129,24 @@
     };
     let options = shared.options();
     let serving = shared.stopping.get().is_none() && shared.configuration().is_some();
-    let homes = allowed_regions(shared, &query);
-    let is_home = |data_centre: &str| {
-        let regions = homes.as_ref();
-        regions.is_none_or(|homes| options.regions.any_contains(homes, data_centre))
+    let regions = entry_regions(shared, &query);
+    let is_allowed = |data_centre: &str| {
+        let regions = regions.as_ref();
+        regions.is_none_or(|regions| options.regions.any_contains(regions, data_centre))
     };
-    let own_is_home = is_home(&options.data_centre);
-    let ready = (shared.ready(now) && own_is_home).then_some(options.listen);
+    let own_is_allowed = is_allowed(&options.data_centre);
+    let ready = (shared.ready(now) && own_is_allowed).then_some(options.listen);
     let peers = shared.peers.borrow();
-    let mut list = peers.list_within(query.data_centre.as_deref(), ready, is_home, now);
-    if list.is_empty() && serving && own_is_home {
-        // While the store is away no entry is ready, and each still serves
-        // what needs no fresh proof.
+    let mut list = peers.list_within(query.data_centre.as_deref(), ready, is_allowed, now);
+    if list.is_empty() && serving && own_is_allowed {
+        // While the store is unavailable no entry is ready, but each still serves requests
+        // that need no recent confirmation of the keys.
         list.push(options.listen);
     }
     if list.is_empty() {
         return status(StatusCode::SERVICE_UNAVAILABLE);
     }
-    let body = D::addresses(&list, LIST_TIME.min(options.address_ttl_max));
+    let body = D::addresses(&list, ADDRESS_TTL.min(options.address_ttl_max));
     let mut response = Response::new(Full::new(body));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
--- a/crates/gateway/src/stop.rs
+++ b/crates/gateway/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop, and the reload of settings.
+//! Shuts an entry down gracefully.
 
 use std::io;
 use std::rc::Rc;
@@ -9,20 +9,21 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::watch;
 
+use crate::gossip;
 use crate::knowledge::SharedState;
-use crate::listing;
 use crate::store::Codec;
 
-/// How long requests are still taken after a stop was asked for: some callers
-/// keep a list of addresses three times as long as it says. Later ones are
-/// refused, since they might not end in time.
-const FAREWELL: Duration = Duration::from_secs(3);
-/// What is kept free at the end of the time for a stop.
+/// How long requests are still accepted after a stop was requested: some callers cache
+/// a list of addresses for three times its stated lifetime. Later requests are refused,
+/// since they might not complete in time.
+const ACCEPT_TIME: Duration = Duration::from_secs(3);
+/// The margin kept at the end of the stop's grace period.
 const END_MARGIN: Duration = Duration::from_millis(500);
-/// How often a stopping entry looks whether its last request has ended.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
+/// The interval at which a stopping entry checks whether its last request has
+/// completed.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Waits for the signal to stop, and then until the process may end.
+/// Waits for a signal to stop, then until the process may exit.
 ///
 /// # Errors
 ///
@@ -42,27 +43,27 @@
     let options = shared.options();
     shared.stopping.set(Some(began));
     tracing::info!(in_flight = shared.in_flight.get(), "stop asked for");
-    listing::announce_stop(&shared, &socket);
-    tokio::task::spawn_local(withdraw::<C>(Rc::clone(&shared)));
-    tokio::time::sleep(FAREWELL.min(options.grace / 2)).await;
+    gossip::announce_stop(&shared, &socket);
+    tokio::task::spawn_local(deregister::<C>(Rc::clone(&shared)));
+    tokio::time::sleep(ACCEPT_TIME.min(options.grace / 2)).await;
     shared.closing.set(true);
     closing.send_replace(true);
     let last = began + options.grace.saturating_sub(END_MARGIN);
-    tokio::time::sleep(LOOK_EVERY).await;
+    tokio::time::sleep(POLL_INTERVAL).await;
     while shared.in_flight.get() > 0 && clock::now() < last {
-        tokio::time::sleep(LOOK_EVERY).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     tracing::info!(in_flight = shared.in_flight.get(), "stopped");
     Ok(())
 }
 
-/// Takes this entry out of the store, and again if that came back from an older copy.
-async fn withdraw<C: Codec>(shared: Rc<SharedState>) {
+/// Removes this entry from the store, again after each restore from an older copy.
+async fn deregister<C: Codec>(shared: Rc<SharedState>) {
     let mut store = shared.store::<C>();
     let host = shared.entry().host;
     loop {
         if let Err(error) = store.deregister(&host).await {
-            tracing::warn!(%error, "entry not withdrawn");
+            tracing::warn!(%error, "entry not removed from the store");
         }
         shared.eras.changed().await;
     }
--- a/crates/gateway/src/wake.rs
+++ b/crates/gateway/src/wake.rs
@@ -1,7 +1,7 @@
-//! Waits for a moment on a host that may be suspended.
+//! Waits for a point in time on a host that may be suspended.
 //!
-//! The runtime's timers stand still while the host sleeps, the clock doesn't: what became due
-//! meanwhile is looked at again once it is noticed that the host has slept.
+//! The runtime's timers stand still while the host is suspended, but the clock advances. Once
+//! a suspension is detected, all waits are checked again.
 
 use std::cell::Cell;
 use std::time::Duration;
@@ -12,54 +12,54 @@
 
 use crate::journal::millis;
 
-/// The sleep from which on a host counts as suspended: more than the time that clocks read
-/// one after the other are apart, and less than matters to any bound here.
-const LEAST: Duration = Duration::from_millis(100);
+/// The shortest difference that counts as a suspension. It is longer than the time between
+/// two successive clock readings, and short compared with all time bounds in this crate.
+const SUSPENSION_MIN: Duration = Duration::from_millis(100);
 
-/// Notices that the host has slept.
+/// Detects suspensions of the host.
 #[derive(Debug)]
 pub struct SuspendDetector {
-    /// What the clock and the runtime's timers showed when they were last compared.
-    seen: Cell<(Instant, tokio::time::Instant)>,
-    slept: Notify,
+    /// The clock and the runtime's timers at the last comparison.
+    last_reading: Cell<(Instant, tokio::time::Instant)>,
+    suspended: Notify,
 }
 
 impl Default for SuspendDetector {
     fn default() -> Self {
         Self {
-            seen: Cell::new(read()),
-            slept: Notify::new(),
+            last_reading: Cell::new(read()),
+            suspended: Notify::new(),
         }
     }
 }
 
 impl SuspendDetector {
-    /// Compares the clock with the runtime's timers; tells whether the host has slept since
-    /// that was done last.
+    /// Compares the clock with the runtime's timers; returns whether the host was suspended
+    /// since the last call.
     pub fn check(&self) -> bool {
         let (clock, timers) = read();
-        let (clock_before, timers_before) = self.seen.replace((clock, timers));
+        let (clock_before, timers_before) = self.last_reading.replace((clock, timers));
         let passed = clock.saturating_duration_since(clock_before);
-        let slept = passed.saturating_sub(timers.saturating_duration_since(timers_before));
-        if slept < LEAST {
+        let suspended = passed.saturating_sub(timers.saturating_duration_since(timers_before));
+        if suspended < SUSPENSION_MIN {
             return false;
         }
-        tracing::warn!(ms = millis(slept), "host was asleep");
+        tracing::warn!(ms = millis(suspended), "host was asleep");
         metrics::counter!(metric::HOST_SLEEPS).increment(1);
-        self.slept.notify_waiters();
+        self.suspended.notify_waiters();
         true
     }
 
-    /// Waits until `moment`.
+    /// Waits until the clock reaches `moment`.
     pub async fn wait_until(&self, moment: Instant) {
         loop {
-            let slept = self.slept.notified();
+            let suspended = self.suspended.notified();
             let left = moment.left();
             if left.is_zero() {
                 return;
             }
             tokio::select! {
-                () = slept => {}
+                () = suspended => {}
                 () = tokio::time::sleep(left) => {}
             }
         }
--- a/crates/gateway/tests/absence.rs
+++ b/crates/gateway/tests/absence.rs
@@ -1,13 +1,14 @@
-//! Endpoints that the store lost are used for a while, and leaving ones not for
-//! too long.
+//! Endpoints that the store lost stay in use for a limited time, and leaving ones are
+//! not used beyond their bound.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock;
 use cactusnotch_gateway::outage::{DETECTION_DELAY_MAX, Outage, REREGISTRATION_TIME};
 
-/// The time from a sound way to the store until leaving endpoints must be known.
-const IN_TOUCH: Duration = Duration::from_secs(3);
+/// The time from the last working connection to the store until leaving endpoints must
+/// be known.
+const LEAVING_BOUND: Duration = Duration::from_secs(3);
 
 #[test]
 fn an_endpoint_that_is_missing_without_an_outage_is_gone() {
@@ -24,7 +25,11 @@
         Some(returned + REREGISTRATION_TIME)
     );
     let late = returned + REREGISTRATION_TIME;
-    assert_eq!(outage.kept_until(late), None, "it hasn't come back");
+    assert_eq!(
+        outage.kept_until(late),
+        None,
+        "the endpoint has not registered again"
+    );
 }
 
 #[test]
@@ -38,13 +43,13 @@
         outage.end(returned);
         for left in (0..4_000).step_by(50) {
             let left = sound + Duration::from_millis(left);
-            // It is seen at once, or with the first answer after the outage.
+            // It is detected at once, or with the first response after the outage.
             let seen = left.max(returned);
             let used = outage.kept_until(seen).unwrap_or(seen);
-            let allowed = (left + bound).max(sound + IN_TOUCH);
+            let allowed = (left + bound).max(sound + LEAVING_BOUND);
             assert!(
                 used <= allowed,
-                "noticed after {late:?}, left at {:?}",
+                "detected after {late:?}, left at {:?}",
                 left - sound
             );
         }
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -1,35 +1,35 @@
-//! Which streams are let in while half of the capacity is gone.
+//! Load shedding while half of the capacity is unavailable.
 //!
-//! The load is that of one of two groups falling silent at 75 streams a second: the
-//! other has slots for about 46 a second. A stream is worth all if its first event
-//! comes within the target and a quarter if it is late, and a caller that is refused
-//! a second time is lost. So first attempts that can be on time come first, and
-//! callers that come back take what is left.
+//! Models one of two groups that becomes unresponsive at 75 streams a second; the other
+//! group has slots for about 46 a second. A stream has its full value if its first
+//! event arrives within the target and a quarter of it if it is late, and a caller that
+//! is refused a second time is lost. First attempts that can be on time therefore take
+//! precedence, and returning callers get the remaining capacity.
 
 use std::time::Duration;
 
 use cactusnotch_gateway::admission::{Caller, Forecast, RETURNED_WAIT, Targets, admits};
 
-const TERMS: Targets = Targets {
-    target: Duration::from_millis(400),
-    pause: Some(Duration::from_millis(120)),
+const TARGETS: Targets = Targets {
+    first_event: Duration::from_millis(400),
+    max_event_gap: Some(Duration::from_millis(120)),
 };
 const FREE: Forecast = Forecast {
     full: false,
-    fill: 40,
-    wait: Duration::ZERO,
+    utilisation: 40,
+    slot_wait: Duration::ZERO,
     first: Duration::from_millis(170),
-    pass: Some(Duration::from_millis(60)),
+    pass_time: Some(Duration::from_millis(60)),
 };
 const FULL: Forecast = Forecast {
     full: true,
-    fill: 108,
-    wait: Duration::from_millis(180),
+    utilisation: 108,
+    slot_wait: Duration::from_millis(180),
     first: Duration::from_millis(350),
     ..FREE
 };
-/// A draw that no chance to be refused is above.
-const LUCKY: f64 = 1.0;
+/// A draw with which a request is never refused by chance.
+const NEVER_SHED: f64 = 1.0;
 
 fn returned(waited: u64) -> Caller {
     Caller::Returned {
@@ -40,60 +40,66 @@
 #[test]
 fn all_are_let_in_while_there_is_room() {
     for caller in [Caller::First, returned(0)] {
-        assert!(admits(caller, &FREE, &TERMS, 0.0));
+        assert!(admits(caller, &FREE, &TARGETS, 0.0));
     }
 }
 
 #[test]
 fn a_first_attempt_waits_for_a_slot_if_it_will_be_on_time() {
-    assert!(admits(Caller::First, &FULL, &TERMS, LUCKY));
+    assert!(admits(Caller::First, &FULL, &TARGETS, NEVER_SHED));
     let late = Forecast {
         first: Duration::from_millis(390),
         ..FULL
     };
-    assert!(!admits(Caller::First, &late, &TERMS, LUCKY));
+    assert!(!admits(Caller::First, &late, &TARGETS, NEVER_SHED));
 }
 
 #[test]
 fn a_returned_caller_leaves_full_endpoints_to_first_attempts() {
-    assert!(!admits(returned(0), &FULL, &TERMS, LUCKY));
-    assert!(!admits(returned(1_000), &FULL, &TERMS, LUCKY));
+    assert!(!admits(returned(0), &FULL, &TARGETS, NEVER_SHED));
+    assert!(!admits(returned(1_000), &FULL, &TARGETS, NEVER_SHED));
 }
 
 #[test]
 fn a_returned_caller_accepts_fuller_endpoints_the_longer_it_has_waited() {
-    let at = |fill| Forecast { fill, ..FREE };
-    assert!(!admits(returned(0), &at(60), &TERMS, LUCKY));
-    assert!(admits(returned(500), &at(60), &TERMS, LUCKY));
-    assert!(!admits(returned(500), &at(70), &TERMS, LUCKY));
-    let waited = u64::try_from(RETURNED_WAIT.as_millis()).expect("a second");
-    assert!(admits(returned(waited), &at(75), &TERMS, LUCKY));
+    let at = |utilisation| Forecast {
+        utilisation,
+        ..FREE
+    };
+    assert!(!admits(returned(0), &at(60), &TARGETS, NEVER_SHED));
+    assert!(admits(returned(500), &at(60), &TARGETS, NEVER_SHED));
+    assert!(!admits(returned(500), &at(70), &TARGETS, NEVER_SHED));
+    let waited = u64::try_from(RETURNED_WAIT.as_millis()).expect("it is one second");
+    assert!(admits(returned(waited), &at(75), &TARGETS, NEVER_SHED));
 }
 
 #[test]
 fn long_passes_keep_both_out() {
     let long = Forecast {
-        pass: Some(Duration::from_millis(140)),
+        pass_time: Some(Duration::from_millis(140)),
         ..FREE
     };
     for caller in [Caller::First, returned(0)] {
-        assert!(!admits(caller, &long, &TERMS, 0.99));
+        assert!(!admits(caller, &long, &TARGETS, 0.99));
     }
-    // Half way between the bounds half of them are kept out.
+    // Half way between the two bounds, half of the requests are shed.
     let pressing = Forecast {
-        pass: Some(Duration::from_millis(108)),
+        pass_time: Some(Duration::from_millis(108)),
         ..FREE
     };
-    assert!(!admits(Caller::First, &pressing, &TERMS, 0.4));
-    assert!(admits(Caller::First, &pressing, &TERMS, 0.6));
+    assert!(!admits(Caller::First, &pressing, &TARGETS, 0.4));
+    assert!(admits(Caller::First, &pressing, &TARGETS, 0.6));
 }
 
 #[test]
 fn a_plain_request_has_no_passes() {
     let plain = Targets {
-        pause: None,
-        ..TERMS
+        max_event_gap: None,
+        ..TARGETS
+    };
+    let forecast = Forecast {
+        pass_time: None,
+        ..FREE
     };
-    let forecast = Forecast { pass: None, ..FREE };
     assert!(admits(Caller::First, &forecast, &plain, 0.0));
 }
