--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -120,9 +120,9 @@
     /// roster if the platform answers in time.
     pub async fn stop(&self) {
         self.drain().await;
-        self.shared.node.depart();
+        self.shared.node.deregister();
         let settled = async {
-            while !self.shared.node.registered() {
+            while !self.shared.node.is_registered() {
                 tokio::time::sleep(GLANCE).await;
             }
         };
--- a/crates/entry/src/stopping.rs
+++ b/crates/entry/src/stopping.rs
@@ -80,7 +80,7 @@
         let left = shared.stopping.connections();
         tracing::warn!(left, "connections outlast the drain time");
     }
-    shared.node.depart();
+    shared.node.deregister();
     settle(&shared).await;
 }
 
@@ -89,7 +89,7 @@
     const GLANCE: Duration = Duration::from_millis(50);
     const PATIENCE: u32 = 100;
     for _ in 0..PATIENCE {
-        if shared.node.registered() {
+        if shared.node.is_registered() {
             return;
         }
         tokio::time::sleep(GLANCE).await;
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -145,14 +145,14 @@
     }
 
     /// Takes the process's record off the roster.
-    pub fn depart(&self) {
-        self.shared.lock().spread.depart();
+    pub fn deregister(&self) {
+        self.shared.lock().spread.deregister();
     }
 
     /// Tells whether the platform holds the process's record as it is wanted.
     #[must_use]
-    pub fn registered(&self) -> bool {
-        self.shared.lock().spread.registered()
+    pub fn is_registered(&self) -> bool {
+        self.shared.lock().spread.is_registered()
     }
 }
 
--- a/crates/spread/examples/spread_cost/phase.rs
+++ b/crates/spread/examples/spread_cost/phase.rs
@@ -170,7 +170,7 @@
     let (from, mut settled) = (world.now, None);
     let until = from + 60 * SECOND;
     let ran = world.run(until, |world| {
-        let registered = nodes(world).all(Node::registered);
+        let registered = nodes(world).all(Node::is_registered);
         let now = world.instant();
         let serving = nodes(world).all(|node| node.standing(now) == Standing::Serving);
         if settled.is_none() && registered && serving {
--- a/crates/spread/src/node.rs
+++ b/crates/spread/src/node.rs
@@ -220,14 +220,14 @@
     }
 
     /// Ends a planned stop: the record is taken off the roster.
-    pub fn depart(&mut self) {
+    pub fn deregister(&mut self) {
         self.leaving = true;
         self.registration.want(None);
     }
 
     /// Tells whether the platform holds the record as it is wanted.
     #[must_use]
-    pub fn registered(&self) -> bool {
+    pub fn is_registered(&self) -> bool {
         self.registration.settled()
     }
 
--- a/crates/spread/tests/scenarios.rs
+++ b/crates/spread/tests/scenarios.rs
@@ -214,7 +214,7 @@
     let watching: Vec<usize> = (0..24).filter(|at| node(&world, *at).watches()).collect();
     assert_eq!(watching.len(), 8, "two in each data centre");
     for at in &watching {
-        world.slots[*at].node.as_mut().expect("it is up").depart();
+        world.slots[*at].node.as_mut().expect("it is up").deregister();
     }
     run(&mut world, 5);
     assert_eq!(world.platform.members.len(), 16);
