--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -27,4 +27,4 @@
 pub use record::{Record, Role, State};
 pub use registration::Registration;
 pub use roster::{Roster, Row};
-pub use rumour::{Life, Rumour, Status};
+pub use rumour::{Instance, Rumour, Status};
--- a/crates/member/src/liveness.rs
+++ b/crates/member/src/liveness.rs
@@ -9,25 +9,25 @@
 use crate::options::Options;
 use crate::record::Record;
 use crate::roster::{Roster, Row};
-use crate::rumour::{Life, Rumour, Status};
+use crate::rumour::{Instance, Rumour, Status};
 
 /// How many rumours ride on one message.
-const PER_MESSAGE: usize = 4;
+const RUMOURS_PER_MESSAGE: usize = 4;
 
 /// How many messages carry a rumour, beyond two for each doubling of members.
-const TELLINGS: u32 = 6;
+const TRANSMISSIONS_MIN: u32 = 6;
 
 /// What is known of a process that was ever suspected or restarted.
 #[record]
 #[derive(Copy)]
 pub struct Health {
     /// The latest life that is known.
-    pub life: Life,
+    pub instance: Instance,
     /// Whether the process can be reached.
     pub status: Status,
     /// Since when the status stands, on this process's clock.
     pub since: Instant,
-    tellings: u32,
+    transmissions: u32,
 }
 
 /// Who can be reached, as this process and its peers see it.
@@ -38,57 +38,59 @@
 pub struct Liveness {
     options: Options,
     own: Process,
-    life: Life,
+    instance: Instance,
     later: Option<Incarnation>,
     healths: Table<Process, Health>,
     generation: u64,
-    tellings: u32,
-    turn: usize,
+    transmissions: u32,
+    cursor: usize,
 }
 
 impl Liveness {
     /// Creates the view of process `own`, to whom everybody is alive.
     #[must_use]
     pub fn new(options: Options, own: Process, incarnation: Incarnation) -> Self {
-        let life = registered(incarnation);
+        let instance = initial(incarnation);
         Self {
             options,
             own,
-            life,
+            instance,
             later: None,
             healths: Table::new(),
             generation: 0,
-            tellings: TELLINGS,
-            turn: 0,
+            transmissions: TRANSMISSIONS_MIN,
+            cursor: 0,
         }
     }
 
     /// Returns the process's own life.
     #[must_use]
-    pub const fn life(&self) -> Life {
-        self.life
+    pub const fn instance(&self) -> Instance {
+        self.instance
     }
 
     /// Takes a larger incarnation, as found when a record was written, and
     /// lets it be told.
-    pub fn reborn(&mut self, incarnation: Incarnation, now: Instant) {
-        if incarnation > self.life.incarnation {
-            self.life = registered(incarnation);
+    pub fn set_incarnation(&mut self, incarnation: Incarnation, now: Instant) {
+        if incarnation > self.instance.incarnation {
+            self.instance = initial(incarnation);
         }
-        self.later = self.later.filter(|later| *later > self.life.incarnation);
+        self.later = self
+            .later
+            .filter(|later| *later > self.instance.incarnation);
         self.announce(now);
     }
 
     /// Lets the process's own life be told.
     pub fn announce(&mut self, now: Instant) {
         let own = self.own.clone();
-        self.set(own, self.life, Status::Alive, now);
+        self.set(own, self.instance, Status::Alive, now);
     }
 
     /// Returns the incarnation of a later life of the same name, if one is
     /// known.
     #[must_use]
-    pub const fn superseded_by(&self) -> Option<Incarnation> {
+    pub const fn later_incarnation(&self) -> Option<Incarnation> {
         self.later
     }
 
@@ -115,52 +117,52 @@
     /// Suspects `process`, which could not be reached; `incarnation` is that
     /// of its record.
     pub fn suspect(&mut self, process: &Process, incarnation: Incarnation, now: Instant) {
-        let roster = registered(incarnation);
+        let roster = initial(incarnation);
         let known = self.healths.get(process);
-        let life = known.map_or(roster, |health| health.life.max(roster));
-        let status = known.filter(|health| health.life == life);
+        let instance = known.map_or(roster, |health| health.instance.max(roster));
+        let status = known.filter(|health| health.instance == instance);
         if status.is_none_or(|health| health.status == Status::Alive) {
-            self.set(process.clone(), life, Status::Suspect, now);
+            self.set(process.clone(), instance, Status::Suspect, now);
         }
     }
 
     /// Takes in a rumour about a member of `roster`. A rumour that this
     /// process cannot be reached is refuted.
-    pub fn hear(&mut self, rumour: &Rumour, roster: &Roster, now: Instant) {
+    pub fn apply(&mut self, rumour: &Rumour, roster: &Roster, now: Instant) {
         if rumour.process == self.own {
-            self.hear_of_self(rumour, now);
+            self.apply_own(rumour, now);
             return;
         }
         let Some(record) = roster.get(&rumour.process) else {
             return;
         };
         let known = self.healths.get(&rumour.process);
-        let (life, status) = known.map_or_else(
-            || (registered(record.incarnation), Status::Alive),
-            |health| (health.life, health.status),
+        let (instance, status) = known.map_or_else(
+            || (initial(record.incarnation), Status::Alive),
+            |health| (health.instance, health.status),
         );
-        let (told, known) = ((rumour.life, rumour.status), (life, status));
+        let (told, known) = ((rumour.instance, rumour.status), (instance, status));
         if told > known {
-            self.set(rumour.process.clone(), rumour.life, rumour.status, now);
+            self.set(rumour.process.clone(), rumour.instance, rumour.status, now);
         } else if told < known {
-            self.repeat(&rumour.process);
+            self.requeue(&rumour.process);
         }
     }
 
     /// Tells again what a peer turned out to have missed.
-    fn repeat(&mut self, process: &Process) {
-        let tellings = self.tellings;
+    fn requeue(&mut self, process: &Process) {
+        let transmissions = self.transmissions;
         if let Some(health) = self.healths.get_mut(process) {
-            health.tellings = tellings;
+            health.transmissions = transmissions;
         }
     }
 
-    fn hear_of_self(&mut self, rumour: &Rumour, now: Instant) {
-        if rumour.life.incarnation > self.life.incarnation {
-            self.later = self.later.max(Some(rumour.life.incarnation));
+    fn apply_own(&mut self, rumour: &Rumour, now: Instant) {
+        if rumour.instance.incarnation > self.instance.incarnation {
+            self.later = self.later.max(Some(rumour.instance.incarnation));
         } else if rumour.status != Status::Alive {
-            if rumour.life >= self.life {
-                self.life.refuted = rumour.life.refuted + 1;
+            if rumour.instance >= self.instance {
+                self.instance.refuted = rumour.instance.refuted + 1;
             }
             self.announce(now);
         }
@@ -169,19 +171,19 @@
     /// Turns suspicions that were not refuted in time into deaths, and forgets
     /// processes that left `roster` or are on it in a later life.
     pub fn tick(&mut self, roster: &Roster, now: Instant) {
-        let refute = self.options.refute;
+        let refute = self.options.refute_timeout;
         let (mut died, mut revived) = (Vec::new(), 0);
         self.healths.retain(|process, health| {
             let late = now.saturating_duration_since(health.since) >= refute;
             if late && health.status == Status::Suspect {
-                died.push((process.clone(), health.life));
+                died.push((process.clone(), health.instance));
             }
             let known = roster.get(process).map(|record| record.incarnation);
             let keep = match known {
                 Some(incarnation) => {
-                    let told = health.tellings == 0 && health.status == Status::Alive;
-                    let plain = told && health.life == registered(incarnation);
-                    incarnation <= health.life.incarnation && !plain
+                    let told = health.transmissions == 0 && health.status == Status::Alive;
+                    let plain = told && health.instance == initial(incarnation);
+                    incarnation <= health.instance.incarnation && !plain
                 }
                 None => *process == self.own,
             };
@@ -189,20 +191,20 @@
             keep
         });
         self.generation += revived;
-        self.tellings = TELLINGS + 2 * roster.len().max(1).ilog2();
-        for (process, life) in died {
+        self.transmissions = TRANSMISSIONS_MIN + 2 * roster.len().max(1).ilog2();
+        for (process, instance) in died {
             if self.healths.contains(&process) {
-                self.set(process, life, Status::Dead, now);
+                self.set(process, instance, Status::Dead, now);
             }
         }
     }
 
-    fn set(&mut self, process: Process, life: Life, status: Status, now: Instant) {
+    fn set(&mut self, process: Process, instance: Instance, status: Status, now: Instant) {
         let health = Health {
-            life,
+            instance,
             status,
             since: now,
-            tellings: self.tellings,
+            transmissions: self.transmissions,
         };
         let before = self.healths.insert(process, health);
         let was_dead = before.is_some_and(|before| before.status == Status::Dead);
@@ -219,22 +221,22 @@
         let mut chosen = Vec::new();
         for (process, health) in self.healths.iter_mut() {
             let against = process == peer && health.status != Status::Alive;
-            if against || (health.tellings > 0 && chosen.len() < PER_MESSAGE) {
-                health.tellings = health.tellings.saturating_sub(1);
+            if against || (health.transmissions > 0 && chosen.len() < RUMOURS_PER_MESSAGE) {
+                health.transmissions = health.transmissions.saturating_sub(1);
                 chosen.push(rumour(process, health));
             }
         }
         if chosen.is_empty() {
-            chosen.extend(self.next_against());
+            chosen.extend(self.next_unreachable());
         }
         chosen
     }
 
-    fn next_against(&mut self) -> Option<Rumour> {
-        self.turn = self.turn.wrapping_add(1);
+    fn next_unreachable(&mut self) -> Option<Rumour> {
+        self.cursor = self.cursor.wrapping_add(1);
         let rows = || self.healths.iter();
         let against = || rows().filter(|(_, health)| health.status != Status::Alive);
-        let at = self.turn.checked_rem(against().count())?;
+        let at = self.cursor.checked_rem(against().count())?;
         let (process, health) = against().nth(at)?;
         Some(rumour(process, health))
     }
@@ -266,14 +268,14 @@
 fn rumour(process: &Process, health: &Health) -> Rumour {
     Rumour {
         process: process.clone(),
-        life: health.life,
+        instance: health.instance,
         status: health.status,
     }
 }
 
 /// Returns the life that a record stands for.
-const fn registered(incarnation: Incarnation) -> Life {
-    Life {
+const fn initial(incarnation: Incarnation) -> Instance {
+    Instance {
         incarnation,
         refuted: 0,
     }
--- a/crates/member/src/options.rs
+++ b/crates/member/src/options.rs
@@ -8,7 +8,7 @@
 #[record]
 pub struct Options {
     /// How long a suspected process has to refute before it counts as dead.
-    pub refute: Duration,
+    pub refute_timeout: Duration,
     /// How long a process counts as dead before its data centre's watcher
     /// takes its record off the roster; far beyond any lease.
     pub expiry: Duration,
@@ -24,7 +24,7 @@
 impl Default for Options {
     fn default() -> Self {
         Self {
-            refute: Duration::from_secs(4),
+            refute_timeout: Duration::from_secs(4),
             expiry: Duration::from_mins(1),
             expiry_percent: 25,
             retry_min: Duration::from_millis(500),
--- a/crates/member/src/registration.rs
+++ b/crates/member/src/registration.rs
@@ -37,8 +37,8 @@
 /// What the platform holds, as far as is known.
 #[record]
 #[derive(Copy)]
-enum Known {
-    Nothing,
+enum Stored {
+    Unknown,
     Absent,
     Other(Version),
     Own(Version, State),
@@ -52,8 +52,8 @@
 #[derive(Debug)]
 pub struct Registration {
     record: Record,
-    wanted: Option<State>,
-    known: Known,
+    target: Option<State>,
+    stored: Stored,
     written: bool,
     superseded: bool,
     pending: Option<Call>,
@@ -65,9 +65,9 @@
     #[must_use]
     pub const fn new(options: &Options, record: Record) -> Self {
         Self {
-            wanted: Some(State::Joining),
+            target: Some(State::Joining),
             record,
-            known: Known::Nothing,
+            stored: Stored::Unknown,
             written: false,
             superseded: false,
             pending: None,
@@ -87,31 +87,31 @@
     }
 
     /// Wants the record to say `state`, or to be gone.
-    pub fn want(&mut self, state: Option<State>) {
-        self.wanted = state;
+    pub fn set_target(&mut self, state: Option<State>) {
+        self.target = state;
         self.record.state = state.unwrap_or(State::Leaving);
     }
 
     /// Notes that the record may have been removed or replaced by others.
-    pub const fn doubt(&mut self) {
-        self.known = Known::Nothing;
+    pub const fn invalidate(&mut self) {
+        self.stored = Stored::Unknown;
     }
 
     /// Returns the version of the own record, if it is known to stand.
     #[must_use]
     pub const fn version(&self) -> Option<Version> {
-        match self.known {
-            Known::Own(version, _) => Some(version),
+        match self.stored {
+            Stored::Own(version, _) => Some(version),
             _ => None,
         }
     }
 
     /// Tells whether the platform holds what is wanted.
     #[must_use]
-    pub fn settled(&self) -> bool {
-        match (self.wanted, self.known) {
-            (Some(wanted), Known::Own(_, state)) => wanted == state,
-            (None, Known::Absent | Known::Other(_)) => true,
+    pub fn is_current(&self) -> bool {
+        match (self.target, self.stored) {
+            (Some(target), Stored::Own(_, state)) => target == state,
+            (None, Stored::Absent | Stored::Other(_)) => true,
             _ => false,
         }
     }
@@ -130,7 +130,7 @@
 
     /// Takes an incarnation larger than `other`, a life of this name that is
     /// known from elsewhere, unless this life was registered already.
-    pub fn exceed(&mut self, other: Incarnation) {
+    pub fn raise_above(&mut self, other: Incarnation) {
         if !self.written && other >= self.record.incarnation {
             self.record.incarnation = other.next();
         }
@@ -139,23 +139,23 @@
     /// Returns the call to make at `now`. Its answer must come before the
     /// next call is asked for.
     pub fn poll(&mut self, now: Instant) -> Option<Call> {
-        let idle = self.settled() || self.superseded || self.pending.is_some();
+        let idle = self.is_current() || self.superseded || self.pending.is_some();
         if idle || !self.backoff.ready(now) {
             return None;
         }
-        let call = self.decide()?;
+        let call = self.next_call()?;
         self.written |= matches!(call, Call::Put(..));
         self.pending = Some(call.clone());
         Some(call)
     }
 
-    fn decide(&self) -> Option<Call> {
-        let condition = match (self.known, self.wanted) {
-            (Known::Nothing, _) => return Some(Call::Find),
-            (Known::Own(version, _), None) => return Some(Call::Delete(version)),
+    fn next_call(&self) -> Option<Call> {
+        let condition = match (self.stored, self.target) {
+            (Stored::Unknown, _) => return Some(Call::Find),
+            (Stored::Own(version, _), None) => return Some(Call::Delete(version)),
             (_, None) => return None,
-            (Known::Absent, _) => Condition::Absent,
-            (Known::Other(version) | Known::Own(version, _), _) => Condition::Version(version),
+            (Stored::Absent, _) => Condition::Absent,
+            (Stored::Other(version) | Stored::Own(version, _), _) => Condition::Version(version),
         };
         Some(Call::Put(Box::new(self.record.clone()), condition))
     }
@@ -167,34 +167,34 @@
         };
         match (call, answer) {
             (_, Answer::Unanswered) => {
-                self.known = Known::Nothing;
+                self.stored = Stored::Unknown;
                 self.backoff.fail(now, rng);
                 return;
             }
-            (_, Answer::Found(row)) => self.found(row),
+            (_, Answer::Found(row)) => self.record_found(row),
             (Call::Put(record, _), Answer::Written(version)) => {
-                self.known = Known::Own(version, record.state);
+                self.stored = Stored::Own(version, record.state);
             }
-            (Call::Delete(_), Answer::Written(_)) => self.known = Known::Absent,
-            (Call::Find, Answer::Written(_)) => self.known = Known::Nothing,
+            (Call::Delete(_), Answer::Written(_)) => self.stored = Stored::Absent,
+            (Call::Find, Answer::Written(_)) => self.stored = Stored::Unknown,
         }
         self.backoff.succeed();
     }
 
-    fn found(&mut self, row: Option<Row>) {
+    fn record_found(&mut self, row: Option<Row>) {
         let Some(Row { record, version }) = row else {
-            self.known = Known::Absent;
+            self.stored = Stored::Absent;
             return;
         };
         let own = record.incarnation == self.record.incarnation
             && record.host == self.record.host
             && record.peers == self.record.peers;
         if own && self.written {
-            self.known = Known::Own(version, record.state);
+            self.stored = Stored::Own(version, record.state);
             return;
         }
         self.superseded = self.written && record.incarnation >= self.record.incarnation;
-        self.exceed(record.incarnation);
-        self.known = Known::Other(version);
+        self.raise_above(record.incarnation);
+        self.stored = Stored::Other(version);
     }
 }
--- a/crates/member/src/rumour.rs
+++ b/crates/member/src/rumour.rs
@@ -6,7 +6,7 @@
 
 /// A life of a process, with the number of suspicions that it has refuted.
 #[number]
-pub struct Life {
+pub struct Instance {
     /// The life.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
@@ -40,7 +40,7 @@
     pub process: Process,
     /// The life that the rumour is about.
     #[serde(rename = "l")]
-    pub life: Life,
+    pub instance: Instance,
     /// Whether the process can be reached.
     #[serde(rename = "s")]
     pub status: Status,
--- a/crates/member/tests/liveness.rs
+++ b/crates/member/tests/liveness.rs
@@ -53,7 +53,7 @@
 /// Lets `teller` tell all that it has to `hearer`.
 fn tell(teller: &mut Liveness, hearer: &mut Liveness, to: u64, roster: &Roster, now: Instant) {
     for rumour in teller.rumours(&name(to)) {
-        hearer.hear(&rumour, roster, now);
+        hearer.apply(&rumour, roster, now);
     }
 }
 
@@ -64,7 +64,7 @@
     a.suspect(&name(1), Incarnation(1), now);
     a.suspect(&name(2), Incarnation(1), now);
     tell(&mut a, &mut b, 1, &roster, now);
-    assert_eq!(b.life().refuted, 1);
+    assert_eq!(b.instance().refuted, 1);
     tell(&mut b, &mut a, 0, &roster, now);
     let later = now + Duration::from_secs(4);
     a.tick(&roster, later);
@@ -78,13 +78,13 @@
     let (mut knows, mut missed) = (view(0), view(1));
     let mut rumour = Rumour {
         process: name(2),
-        life: view(2).life(),
+        instance: view(2).instance(),
         status: Status::Dead,
     };
-    missed.hear(&rumour, &roster, now);
-    rumour.life.refuted = 1;
+    missed.apply(&rumour, &roster, now);
+    rumour.instance.refuted = 1;
     rumour.status = Status::Alive;
-    knows.hear(&rumour, &roster, now);
+    knows.apply(&rumour, &roster, now);
     // Each tells others until it has told often enough.
     for _ in 0..100 {
         knows.rumours(&name(5));
--- a/crates/member/tests/registration.rs
+++ b/crates/member/tests/registration.rs
@@ -63,7 +63,7 @@
     assert_eq!(own.poll(later), Some(Call::Find));
     own.answer(found(written, 4), later, &mut rng());
     assert_eq!(own.version(), Some(Version(4)));
-    assert!(own.settled());
+    assert!(own.is_current());
 }
 
 #[test]
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -49,7 +49,7 @@
     spread: spread::Node,
     replica: Replica,
     /// The revisions of this step, oldest first.
-    passed: Vec<(Revision, Arc<Tree>)>,
+    applied: Vec<(Revision, Arc<Tree>)>,
 }
 
 impl<C: Clock> Node<C> {
@@ -71,7 +71,7 @@
             inner: Mutex::new(Inner {
                 spread,
                 replica,
-                passed: Vec::new(),
+                applied: Vec::new(),
             }),
             views: watch::Sender::new(Arc::new(view)),
             revisions: broadcast::Sender::new(REVISIONS),
@@ -92,7 +92,7 @@
     /// Takes in a message that came from a peer by a link.
     pub fn receive(&self, from: &Process, message: Message) {
         let now = self.shared.clock.now();
-        self.shared.step(|inner| inner.hear(from, message, now));
+        self.shared.step(|inner| inner.receive(from, message, now));
     }
 
     /// Sends a message to a process on the roster, or drops it.
@@ -186,10 +186,10 @@
                 Command::Roster => is_roster_new = true,
             }
         }
-        let mut passed = std::mem::take(&mut inner.passed);
-        if let Some(newest) = passed.pop() {
+        let mut applied = std::mem::take(&mut inner.applied);
+        if let Some(newest) = applied.pop() {
             let is_wanted = self.revisions.receiver_count() > 0;
-            for earlier in passed.into_iter().filter(|_| is_wanted) {
+            for earlier in applied.into_iter().filter(|_| is_wanted) {
                 let view = view(earlier, inner.spread.roster());
                 let _ = self.revisions.send(Arc::new(view));
             }
@@ -223,9 +223,9 @@
 impl Inner {
     /// Takes in a peer's message, but no revision that the replica refuses:
     /// what the decision counts as held is in force.
-    fn hear(&mut self, from: &Process, message: Message, now: Instant) -> Vec<Command> {
+    fn receive(&mut self, from: &Process, message: Message, now: Instant) -> Vec<Command> {
         match &message {
-            Message::Span(span) if !self.take(span) => Vec::new(),
+            Message::Span(span) if !self.apply(span) => Vec::new(),
             _ => self.spread.on_message(from, message, now),
         }
     }
@@ -236,7 +236,7 @@
         let Answer::Settings(mut spans) = answer else {
             return self.spread.on_answer(ticket, answer, now);
         };
-        let refused = spans.iter().position(|span| !self.take(span));
+        let refused = spans.iter().position(|span| !self.apply(span));
         let Some(refused) = refused else {
             let answer = Answer::Settings(spans);
             return self.spread.on_answer(ticket, answer, now);
@@ -252,7 +252,7 @@
 
     /// Puts a span in force if it leads on; returns whether the replica holds it
     /// or lacks what comes before it.
-    fn take(&mut self, span: &Span) -> bool {
+    fn apply(&mut self, span: &Span) -> bool {
         let held = self.replica.revision().0;
         if span.through.0 <= held || span.after.0 > held {
             return true;
@@ -269,7 +269,7 @@
             metrics::gauge!(metric::NODE_REVISION).set(precise(span.through.0));
             tracing::info!(revision = %span.through, "settings in force in this process");
             let tree = Arc::new(self.replica.tree().clone());
-            self.passed.push((self.replica.revision(), tree));
+            self.applied.push((self.replica.revision(), tree));
         } else {
             tracing::error!(refused = %taken, through = %span.through, "a revision was not applied");
         }
--- a/crates/node/tests/order.rs
+++ b/crates/node/tests/order.rs
@@ -21,7 +21,7 @@
 use serde_json::{Value, json};
 use tokio::time::timeout;
 
-const PATIENCE: Duration = Duration::from_secs(30);
+const PEER_ANSWER_TIME: Duration = Duration::from_secs(30);
 
 fn start(platform: &http::Options) -> Node<System> {
     let identity = Identity {
@@ -96,7 +96,7 @@
 async fn reach(node: &Node<System>, revision: Revision) {
     let mut views = node.views();
     let reached = views.wait_for(|view| view.revision >= revision);
-    timeout(PATIENCE, reached).await.unwrap().unwrap();
+    timeout(PEER_ANSWER_TIME, reached).await.unwrap().unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/crates/settings/examples/size.rs
+++ b/crates/settings/examples/size.rs
@@ -1,5 +1,5 @@
 //! Prints the size of a tree of 910 organisations and 6 model groups, and the
-//! time to change it, to work it out and to look values up.
+//! time to edit it, to resolve it and to look values up.
 
 mod support;
 
@@ -50,7 +50,7 @@
     println!("look an organisation and its group up  {each:?}");
 }
 
-/// Prints the median and the greatest time of `work`.
+/// Prints the median and maximum time of `work`.
 fn report(name: &str, mut work: impl FnMut(usize)) {
     let mut times: Vec<Duration> = (0..ROUNDS)
         .map(|round| {
--- a/crates/settings/examples/support/mod.rs
+++ b/crates/settings/examples/support/mod.rs
@@ -1,4 +1,4 @@
-//! A tree of the size that is expected in two years.
+//! A tree of the size that a large installation is expected to reach.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_settings::{Edit, Id, Key, Kind, Operation, Value};
@@ -8,7 +8,7 @@
 const GROUPS: usize = 6;
 const RANKS: u64 = 256;
 
-/// Returns the edit that makes the tree: 8 policies, 910 organisations with
+/// Returns the edit that builds the tree: 8 policies, 910 organisations with
 /// three overrides each, and 6 model groups that list 256 endpoints each.
 pub fn fleet() -> Edit {
     let mut operations = vec![set("root", Key::ConcurrencyLimit, Value::Integer(20_000))];
--- a/crates/settings/src/apply.rs
+++ b/crates/settings/src/apply.rs
@@ -1,19 +1,19 @@
-//! Applying an edit as a whole or not at all.
+//! Atomic application of edits.
 
 use cactusnotch_base::Table;
 use uuid::Uuid;
 
 use crate::{Edit, Error, Id, Key, Node, Operation, Tree, Value};
 
-/// Returns the tree with all operations of `edit` carried out.
+/// Returns the tree with all operations of `edit` applied.
 ///
-/// Each operation has to be possible when its turn comes; the rules that join
-/// several nodes are checked once, after the last operation.
+/// Each operation must be valid on the result of the preceding ones. The rules
+/// that span several nodes are checked once, after the last operation.
 ///
 /// # Errors
 ///
-/// [`Error::Step`] for the first operation that is not possible, otherwise
-/// the first rule that the resulting tree breaks.
+/// [`Error::Step`] for the first operation that is not valid, otherwise the
+/// first rule that the resulting tree violates.
 pub fn apply(tree: &Tree, edit: &Edit) -> Result<Tree, Error> {
     if Uuid::try_parse(&edit.id).is_err() {
         return Err(Error::Identity {
@@ -24,13 +24,13 @@
         return Err(Error::Empty);
     }
     let mut nodes = tree.nodes().clone();
-    carry_out_all(&mut nodes, edit)?;
+    apply_operations(&mut nodes, edit)?;
     Tree::checked(nodes)
 }
 
-/// Returns the tree with several edits carried out that are known to be valid
-/// one after the other. The rules are checked once, after the last one, which
-/// takes about as long as for a single edit.
+/// Returns the tree with several edits applied that were each validated before.
+/// The rules are checked once, after the last edit, which takes about as long
+/// as for a single edit.
 ///
 /// # Errors
 ///
@@ -38,14 +38,14 @@
 pub fn replay<'a>(tree: &Tree, edits: impl Iterator<Item = &'a Edit>) -> Result<Tree, Error> {
     let mut nodes = tree.nodes().clone();
     for edit in edits {
-        carry_out_all(&mut nodes, edit)?;
+        apply_operations(&mut nodes, edit)?;
     }
     Tree::checked(nodes)
 }
 
-fn carry_out_all(nodes: &mut Table<Id, Node>, edit: &Edit) -> Result<(), Error> {
+fn apply_operations(nodes: &mut Table<Id, Node>, edit: &Edit) -> Result<(), Error> {
     for (at, operation) in edit.operations.iter().enumerate() {
-        carry_out(nodes, operation).map_err(|source| Error::Step {
+        apply_operation(nodes, operation).map_err(|source| Error::Step {
             at,
             operation: Box::new(operation.clone()),
             source: Box::new(source),
@@ -54,7 +54,7 @@
     Ok(())
 }
 
-fn carry_out(nodes: &mut Table<Id, Node>, operation: &Operation) -> Result<(), Error> {
+fn apply_operation(nodes: &mut Table<Id, Node>, operation: &Operation) -> Result<(), Error> {
     match operation {
         Operation::Create {
             node,
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -1,4 +1,4 @@
-//! The rules that a valid tree keeps.
+//! Validation rules of a tree.
 
 use cactusnotch_base::Table;
 
@@ -13,10 +13,11 @@
     (Key::ConcurrencyFloor, Key::ConcurrencyLimit),
 ];
 
-/// Returns the rules that `nodes` break, in a fixed order; a tree breaks none.
+/// Returns the rules that `nodes` violate, in a fixed order. A valid tree
+/// violates none.
 ///
-/// The rules on names, endpoints and floors presuppose a sound shape and are
-/// checked only when there is one.
+/// The rules on names, endpoints and floors assume a well-formed hierarchy and
+/// are checked only if the rules on single nodes and parents hold.
 #[must_use]
 pub fn faults(nodes: &Table<Id, Node>) -> Vec<Error> {
     let mut faults = Vec::new();
@@ -94,7 +95,7 @@
 
 fn check_names(nodes: &Table<Id, Node>, faults: &mut Vec<Error>) {
     report_duplicates(nodes, |_| true, |node| (&node.parent, &node.name), faults);
-    // Requests name an organisation, and operators a group, without its path.
+    // Requests refer to organisations, and operators to groups, by name without a path.
     for kind in [Kind::Organisation, Kind::ModelGroup] {
         report_duplicates(nodes, |node| node.kind == kind, |node| &node.name, faults);
     }
@@ -102,13 +103,13 @@
 
 fn report_duplicates<'a, K: Ord>(
     nodes: &'a Table<Id, Node>,
-    concerned: impl Fn(&Node) -> bool,
+    is_checked: impl Fn(&Node) -> bool,
     key: impl Fn(&'a Node) -> K,
     faults: &mut Vec<Error>,
 ) {
     let mut rows: Vec<(K, &Id)> = nodes
         .iter()
-        .filter(|(_, node)| concerned(node))
+        .filter(|(_, node)| is_checked(node))
         .map(|(id, node)| (key(node), id))
         .collect();
     rows.sort();
@@ -156,10 +157,10 @@
         .unwrap_or_default()
 }
 
-/// Checks that what is guaranteed at and below each node fits its cap.
+/// Checks that the floors at and below each node do not exceed its cap.
 ///
-/// An organisation needs its floor, or the sum of the parts below it if that
-/// is more; a policy and the root need the sum of what is below them.
+/// An organisation needs its own floor or the sum of the floors below it,
+/// whichever is larger; a policy and the root need the sum of those below.
 fn check_floors(index: &Index<'_>, floor: Key, limit: Key, faults: &mut Vec<Error>) {
     let mut below = vec![0; index.rows().len()];
     for at in index.lowest_first() {
--- a/crates/settings/src/edit.rs
+++ b/crates/settings/src/edit.rs
@@ -1,4 +1,4 @@
-//! Edits: what an operator asks for at once.
+//! Edits: lists of operations that an operator submits together.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_derive::message;
@@ -14,18 +14,18 @@
     /// The identity of the edit: a UUID as text, the same in each attempt to
     /// submit it.
     pub id: String,
-    /// Who edits.
+    /// The author.
     pub author: String,
-    /// Why.
+    /// The reason for the edit.
     pub reason: String,
-    /// The revision that the author saw.
+    /// The revision that the edit is based on.
     pub base: Revision,
     /// The operations in order.
     pub operations: Vec<Operation>,
 }
 
 impl Edit {
-    /// Creates an edit with a fresh identity that carries the time.
+    /// Creates an edit with a new time-ordered identity.
     pub fn new(
         author: impl Into<String>,
         reason: impl Into<String>,
--- a/crates/settings/src/effective.rs
+++ b/crates/settings/src/effective.rs
@@ -1,4 +1,4 @@
-//! Values as they hold at a node, with the node each comes from.
+//! Effective values at a node, with the node that each is inherited from.
 
 use std::fmt;
 
@@ -7,10 +7,10 @@
 
 use crate::{Error, Id, KEYS, Key, Tree, Value};
 
-/// What the source column shows for a default.
+/// The text in the source column for a default.
 const DEFAULT: &str = "(default)";
 
-/// A value as it holds at a node.
+/// The effective value of a key at a node.
 #[record]
 #[derive(Serialize)]
 pub struct Effective {
@@ -19,18 +19,18 @@
     /// The value.
     #[serde(serialize_with = "plain")]
     pub value: Value,
-    /// The node that overrides the value; none: the default holds.
+    /// The node that overrides the value; `None` if the default applies.
     pub from: Option<Id>,
 }
 
-/// All values that mean something at a node. It shows as a table of text and
-/// serializes for machines.
+/// All values that apply to a node. It is displayed as a text table and
+/// serializes for programs.
 #[record]
 #[derive(Serialize)]
 pub struct Listing {
     /// The node.
     pub node: Id,
-    /// The names from below the root down to the node.
+    /// The names from below the root down to the node, joined by `/`.
     pub path: String,
     /// The values in the order of the table of keys.
     pub values: Vec<Effective>,
--- a/crates/settings/src/error.rs
+++ b/crates/settings/src/error.rs
@@ -7,14 +7,14 @@
 /// Why an edit cannot be applied, or a tree is not valid.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// An operation cannot be carried out.
+    /// An operation cannot be applied.
     #[display("operation {} ({operation}): {source}", at + 1)]
     Step {
         /// The position of the operation in the edit.
         at: usize,
         /// The operation.
         operation: Box<Operation>,
-        /// Why not.
+        /// The reason.
         source: Box<Error>,
     },
     /// An edit without operations.
@@ -63,21 +63,21 @@
         /// The parent that is missing.
         parent: Id,
     },
-    /// A node to be deleted that has nodes below it.
+    /// The deletion of a node that has children.
     #[display("node {node} has nodes below it, such as {child}")]
     Children {
         /// The node.
         node: Id,
-        /// One of the nodes below.
+        /// One of the children.
         child: Id,
     },
-    /// A node that stands below itself.
+    /// A node that is its own ancestor.
     #[display("node {node} stands below itself")]
     Cycle {
         /// The node.
         node: Id,
     },
-    /// A node under a parent whose kind does not hold it.
+    /// A node under a parent whose kind does not allow children of this kind.
     #[display("node {node}: a {kind} cannot stand under the {parent_kind} {parent}")]
     Placement {
         /// The node.
@@ -99,7 +99,7 @@
         /// The name of both.
         name: String,
     },
-    /// A key on a node of a kind that it means nothing to.
+    /// A key on a node of a kind that it does not apply to.
     #[display("node {node}: {key} means nothing on a {kind}")]
     Misplaced {
         /// The node.
@@ -119,7 +119,7 @@
         /// Why it does not fit.
         source: Mismatch,
     },
-    /// An override to be removed that is not there.
+    /// The removal of an override that does not exist.
     #[display("node {node} does not override {key}")]
     Inherited {
         /// The node.
@@ -127,7 +127,7 @@
         /// The key.
         key: Key,
     },
-    /// Floors that add up to more than the cap above them.
+    /// Floors whose sum exceeds a cap.
     #[display("node {node}: floors of {floors} ({key}) exceed its {limit_key} of {limit}")]
     Floors {
         /// The node with the cap.
@@ -141,7 +141,7 @@
         /// The cap.
         limit: u64,
     },
-    /// An endpoint of two groups.
+    /// An endpoint that belongs to two groups.
     #[display("node {node}: endpoint {endpoint} belongs to {other} already")]
     Endpoint {
         /// The node.
@@ -163,7 +163,7 @@
 }
 
 impl Error {
-    /// Returns the name of the rule that is broken.
+    /// Returns the name of the violated rule.
     #[must_use]
     pub fn rule(&self) -> &'static str {
         match self {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Returns the node at fault, if there is one.
+    /// Returns the node that violates the rule, if there is one.
     #[must_use]
     pub fn node(&self) -> Option<&Id> {
         match self {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// Returns the key at fault, if there is one.
+    /// Returns the key that violates the rule, if there is one.
     #[must_use]
     pub fn key(&self) -> Option<Key> {
         match self {
@@ -230,7 +230,7 @@
 }
 
 impl Mismatch {
-    /// Returns the name of the rule that is broken.
+    /// Returns the name of the violated rule.
     #[must_use]
     pub const fn rule(&self) -> &'static str {
         match self {
--- a/crates/settings/src/id.rs
+++ b/crates/settings/src/id.rs
@@ -31,7 +31,7 @@
         &self.0
     }
 
-    /// Tells whether the text consists of 1 to 128 lower-case letters,
+    /// Returns whether the text consists of 1 to 128 lower-case letters,
     /// digits, `-`, `_` and `.`.
     #[must_use]
     pub fn is_well_formed(&self) -> bool {
--- a/crates/settings/src/index.rs
+++ b/crates/settings/src/index.rs
@@ -6,8 +6,8 @@
 
 use crate::{Id, Key, Node};
 
-/// Nodes by position, with the position of each parent, so that ways up the
-/// tree take no searches. The nodes need not form a valid tree.
+/// Nodes by position, with the position of each parent, which avoids searches
+/// when walking up the tree. The nodes need not form a valid tree.
 pub(crate) struct Index<'a> {
     rows: Vec<(&'a Id, &'a Node)>,
     parents: Vec<Option<usize>>,
@@ -32,31 +32,31 @@
         self.parents[at]
     }
 
-    /// Tells whether the way up comes back to the node.
+    /// Returns whether the node is its own ancestor.
     pub(crate) fn is_below_itself(&self, at: usize) -> bool {
-        self.way_up(at)
+        self.ancestors(at)
             .skip(1)
             .take(self.rows.len())
             .any(|above| above == at)
     }
 
-    /// Returns the positions, those furthest from the root first. There must
-    /// be no cycle.
+    /// Returns the positions, the deepest nodes first. The nodes must not form
+    /// a cycle.
     pub(crate) fn lowest_first(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.rows.len()).collect();
-        order.sort_by_cached_key(|&at| Reverse(self.way_up(at).count()));
+        order.sort_by_cached_key(|&at| Reverse(self.ancestors(at).count()));
         order
     }
 
     /// Returns the value of an integer key at a node.
     pub(crate) fn integer(&self, at: usize, key: Key) -> u64 {
-        self.way_up(at)
+        self.ancestors(at)
             .find_map(|at| self.rows[at].1.overrides.get(&key)?.as_integer())
             .or_else(|| key.default_value().as_integer())
             .unwrap_or_default()
     }
 
-    fn way_up(&self, at: usize) -> impl Iterator<Item = usize> {
+    fn ancestors(&self, at: usize) -> impl Iterator<Item = usize> {
         std::iter::successors(Some(at), |&at| self.parents[at])
     }
 }
--- a/crates/settings/src/key.rs
+++ b/crates/settings/src/key.rs
@@ -50,7 +50,7 @@
     AllowedOrganisations,
 }
 
-/// A name that no key has.
+/// A name that matches no key.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("there is no key {name:?}")]
 pub struct Unknown {
--- a/crates/settings/src/kind.rs
+++ b/crates/settings/src/kind.rs
@@ -3,7 +3,7 @@
 use cactusnotch_derive::identifier;
 use derive_more::Display;
 
-/// What a node stands for.
+/// What a node represents.
 #[identifier]
 #[derive(Copy, Display)]
 #[serde(rename_all = "kebab-case")]
@@ -31,7 +31,7 @@
         Self::ModelGroup,
     ];
 
-    /// Tells whether a node of kind `child` may stand right below this kind.
+    /// Returns whether a node of kind `child` may be a child of this kind.
     #[must_use]
     pub const fn holds(self, child: Self) -> bool {
         match self {
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,8 @@
-//! The tree of settings: typed values that nodes inherit or override, edits
-//! that take effect as a whole or not at all, and the view of the tree that
-//! the request path looks values up in.
+//! The tree of settings: typed values that nodes inherit or override, atomic
+//! edits, and the resolved view that the request path reads values from.
 //!
-//! This crate does no I/O. The order over edits is kept by
-//! `cactusnotch-history`.
+//! This crate performs no I/O. `cactusnotch-history` maintains the order of
+//! edits.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/settings/src/node.rs
+++ b/crates/settings/src/node.rs
@@ -10,11 +10,11 @@
 #[derive(Eq)]
 #[serde(deny_unknown_fields)]
 pub struct Node {
-    /// The node right above; the root alone has none.
+    /// The parent; only the root has none.
     pub parent: Option<Id>,
-    /// What the node stands for.
+    /// What the node represents.
     pub kind: Kind,
-    /// The name that people see.
+    /// The display name.
     pub name: String,
     /// The values that the node does not inherit.
     pub overrides: Table<Key, Value>,
--- a/crates/settings/src/operation.rs
+++ b/crates/settings/src/operation.rs
@@ -15,32 +15,32 @@
     Create {
         /// The new node.
         node: Id,
-        /// The node right above.
+        /// The parent.
         parent: Id,
-        /// What the node stands for.
+        /// What the node represents.
         kind: Kind,
-        /// The name that people see.
+        /// The display name.
         name: String,
     },
-    /// Overrides a value.
+    /// Overrides a value at a node.
     #[display("set {node} {key} = {value}")]
     Set {
-        /// The node that overrides.
+        /// The node that overrides the value.
         node: Id,
         /// The key of the value.
         key: Key,
         /// The value.
         value: Value,
     },
-    /// Inherits a value again.
+    /// Removes an override; the value is inherited again.
     #[display("unset {node} {key}")]
     Unset {
-        /// The node that overrides no more.
+        /// The node whose override is removed.
         node: Id,
         /// The key of the value.
         key: Key,
     },
-    /// Puts a node, with all below it, under another parent.
+    /// Moves a node, with its subtree, to another parent.
     #[display("move {node} under {parent}")]
     Move {
         /// The node that moves.
@@ -48,7 +48,7 @@
         /// The new parent.
         parent: Id,
     },
-    /// Gives a node another name.
+    /// Renames a node.
     #[display("rename {node} to {name:?}")]
     Rename {
         /// The node.
@@ -56,7 +56,7 @@
         /// The new name.
         name: String,
     },
-    /// Removes a node that has nothing below it.
+    /// Removes a node without children.
     #[display("delete {node}")]
     Delete {
         /// The node.
--- a/crates/settings/src/resolved.rs
+++ b/crates/settings/src/resolved.rs
@@ -1,4 +1,4 @@
-//! The view of a tree that the request path looks values up in.
+//! The resolved view of a tree that the request path reads values from.
 
 mod group;
 mod organisation;
@@ -12,10 +12,10 @@
 
 use crate::{Id, Key, Kind, Tree, Value};
 
-/// The values of a tree with all inheritance worked out.
+/// The values of a tree with all inheritance resolved.
 ///
-/// It is made once for each revision, in `O(nodes × keys × depth × log
-/// nodes)`; a lookup by name takes one search by halving and copies nothing.
+/// It is built once for each revision, in `O(nodes × keys × depth × log
+/// nodes)`; a lookup by name takes one binary search and copies nothing.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Resolved {
     /// The values of the root.
@@ -26,7 +26,7 @@
 }
 
 impl Resolved {
-    /// Works out the values of `tree`.
+    /// Resolves the values of `tree`.
     #[must_use]
     pub fn new(tree: &Tree) -> Self {
         let named = |kind: Kind| {
@@ -91,7 +91,7 @@
             .filter(move |group| group.allows(organisation))
     }
 
-    /// Returns the models that some group serves to `organisation`.
+    /// Returns the models that at least one group serves to `organisation`.
     pub fn models<'a>(&'a self, organisation: &'a str) -> impl Iterator<Item = &'a str> {
         self.models
             .keys()
@@ -100,8 +100,8 @@
     }
 }
 
-/// Reads the values of one node. The tree is valid, so that each value has
-/// the type of its key.
+/// Reads the values of one node. Each value has the type of its key because
+/// the tree is valid.
 pub(crate) struct Reader<'a> {
     tree: &'a Tree,
     id: &'a Id,
--- a/crates/settings/src/resolved/group.rs
+++ b/crates/settings/src/resolved/group.rs
@@ -5,10 +5,10 @@
 use crate::resolved::Reader;
 use crate::{Id, Key, Tree};
 
-/// Stands for every organisation.
+/// The entry in the list of allowed organisations that matches every one.
 const EVERY: &str = "*";
 
-/// The values of a model group with all inheritance worked out.
+/// The values of a model group with all inheritance resolved.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Group {
     /// The node in the tree.
@@ -25,22 +25,22 @@
     pub endpoints: Vec<String>,
     /// The prefix of the endpoints' names; empty: they are listed.
     pub endpoint_selector: String,
-    /// Whether endpoints refuse an order with an old fencing number.
+    /// Whether endpoints reject an order with an outdated fencing number.
     pub checks_fencing: bool,
-    /// The adapter wanted; empty: none.
+    /// The requested adapter; empty: none.
     pub adapter: String,
-    /// The version wanted; empty: the one that endpoints hold.
+    /// The requested version; empty: whichever the endpoints have loaded.
     pub version: String,
-    /// The role wanted; empty: the one that endpoints have.
+    /// The requested role; empty: whichever the endpoints have.
     pub role: String,
     /// The organisations that may use the model; `*` stands for all.
     pub allowed_organisations: Vec<String>,
-    /// The most requests that wait at one entry.
+    /// The maximum number of requests queued at one entry.
     pub queue_bound: u64,
     /// The load up to which an endpoint's cached prefix is preferred, as a
     /// multiple of the mean.
     pub affinity_bound: f64,
-    /// The endpoints that one entry knows.
+    /// The number of endpoints that one entry balances over.
     pub subset_size: u64,
     /// How long a planned stop waits for requests in flight.
     pub drain_time: Duration,
@@ -48,9 +48,9 @@
     pub skew_weight: f64,
     /// The weight of the cost of moving experts.
     pub rebalancing_weight: f64,
-    /// The time within which moving experts has to pay for itself.
+    /// The time within which the gain from moving experts has to exceed its cost.
     pub payback_horizon: Duration,
-    /// The part of the weight store's rate for moving experts.
+    /// The share of the weight store's rate that moving experts may use.
     pub weight_store_share: f64,
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Tells whether `organisation` may use the model.
+    /// Returns whether `organisation` may use the model.
     #[must_use]
     pub fn allows(&self, organisation: &str) -> bool {
         self.allowed_organisations
@@ -89,7 +89,7 @@
             .any(|name| name == EVERY || name == organisation)
     }
 
-    /// Tells whether the endpoint `name` belongs to the group.
+    /// Returns whether the endpoint `name` belongs to the group.
     #[must_use]
     pub fn includes(&self, name: &str) -> bool {
         let selector = self.endpoint_selector.as_str();
--- a/crates/settings/src/resolved/system.rs
+++ b/crates/settings/src/resolved/system.rs
@@ -10,11 +10,11 @@
 /// The values that hold for the whole system.
 #[record]
 pub struct System {
-    /// How long a caller may keep the addresses that it was told.
+    /// How long a caller may cache the addresses that it received.
     pub address_lifetime: Duration,
     /// How long a planned stop waits for requests in flight.
     pub drain_time: Duration,
-    /// The endpoints of a group that one entry knows.
+    /// The number of endpoints of a group that one entry balances over.
     pub subset_size: u64,
 }
 
--- a/crates/settings/src/route.rs
+++ b/crates/settings/src/route.rs
@@ -3,7 +3,7 @@
 use cactusnotch_derive::identifier;
 use derive_more::Display;
 
-/// Path prefixes that the system itself answers.
+/// Path prefixes that the system serves itself.
 const RESERVED: [&str; 2] = ["/v1", "/cactusnotch"];
 
 /// A route of a plain service: requests whose path starts with a prefix go to
@@ -21,20 +21,20 @@
     pub prefix: String,
     /// The names of the endpoints that serve it.
     pub endpoints: Vec<String>,
-    /// Whether a call may be repeated when its outcome is unknown.
+    /// Whether a call may be retried when its outcome is unknown.
     #[serde(default)]
     pub repeatable: bool,
 }
 
 impl Route {
-    /// Tells whether `path` lies under the prefix.
+    /// Returns whether `path` lies under the prefix.
     #[must_use]
     pub fn covers(&self, path: &str) -> bool {
         path.strip_prefix(self.prefix.as_str())
             .is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     }
 
-    /// Returns what is wrong with the route on its own, if anything is.
+    /// Returns why the route is invalid by itself, or `None` if it is valid.
     pub(crate) fn fault(&self) -> Option<&'static str> {
         let prefix = self.prefix.as_str();
         if !prefix.starts_with('/') || prefix.ends_with('/') {
--- a/crates/settings/src/shape.rs
+++ b/crates/settings/src/shape.rs
@@ -9,7 +9,7 @@
 use crate::value::MILLION;
 use crate::{Route, Value};
 
-/// The most names or routes in a list.
+/// The maximum number of names or routes in a list.
 const LIST_LIMIT: usize = 4096;
 
 /// The type of a value and its range, bounds included.
@@ -34,7 +34,7 @@
         /// The greatest value.
         max: u32,
     },
-    /// A length of time, bounds in milliseconds.
+    /// A duration, bounds in milliseconds.
     #[display("duration")]
     Duration {
         /// The least value.
@@ -42,7 +42,7 @@
         /// The greatest value.
         max: u64,
     },
-    /// One of a few words.
+    /// One of a fixed set of words.
     #[display("choice")]
     Choice(&'static [&'static str]),
     /// Text of at most 128 bytes without control characters.
@@ -67,7 +67,7 @@
         /// The value as written.
         found: String,
     },
-    /// The value has the right type and is not allowed.
+    /// The value has the right type but is out of range.
     #[display("{found} is out of range: allowed is {allowed}")]
     Range {
         /// The value as written.
@@ -78,7 +78,7 @@
 }
 
 impl Shape {
-    /// Returns the value written as `plain`: durations are text such as
+    /// Parses the value in its human-readable form: durations are text such as
     /// `30s`, the other types are written as in JSON.
     ///
     /// # Errors
@@ -93,8 +93,7 @@
         Ok(value)
     }
 
-    /// Returns the value written as one word or line on a command line; lists
-    /// are written as JSON.
+    /// Parses a value from one command-line argument; lists are written as JSON.
     ///
     /// # Errors
     ///
@@ -135,7 +134,7 @@
         }
     }
 
-    /// Returns the allowed values in words.
+    /// Returns a description of the allowed values.
     #[must_use]
     pub fn range(&self) -> String {
         let between = |min: Value, max: Value| format!("{min} to {max}");
--- a/crates/settings/src/spec.rs
+++ b/crates/settings/src/spec.rs
@@ -13,7 +13,7 @@
     pub shape: Shape,
     /// The unit of its values; empty if they have none.
     pub unit: &'static str,
-    /// The value where neither the node nor any node above overrides it.
+    /// The value if neither the node nor an ancestor overrides it.
     pub default: Preset,
     /// What the value does.
     pub doc: &'static str,
@@ -22,7 +22,7 @@
 }
 
 impl Spec {
-    /// Tells whether nodes of `kind` may override the value.
+    /// Returns whether nodes of `kind` may override the value.
     #[must_use]
     pub fn is_for(&self, kind: Kind) -> bool {
         self.kinds.contains(&kind)
--- a/crates/settings/src/table.rs
+++ b/crates/settings/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of keys: the one place where keys are described.
+//! The table that defines all keys.
 
 use crate::Kind::{ModelGroup, Organisation, Policy, Root};
 use crate::{Key, Kind, Preset, Shape, Spec};
@@ -10,9 +10,9 @@
 
 const ONE: u32 = 1_000_000;
 
-/// Keys of callers: an organisation inherits them from policies and the root.
+/// Keys that apply to callers: an organisation inherits them from policies and the root.
 const FOR_CALLERS: &[Kind] = &[Root, Policy, Organisation];
-/// Keys of serving: a model group inherits them from policies and the root.
+/// Keys that apply to serving: a model group inherits them from policies and the root.
 const FOR_SERVING: &[Kind] = &[Root, Policy, ModelGroup];
 const FOR_GROUPS: &[Kind] = &[ModelGroup];
 const FOR_ROOT: &[Kind] = &[Root];
--- a/crates/settings/src/tree.rs
+++ b/crates/settings/src/tree.rs
@@ -5,8 +5,7 @@
 
 use crate::{Effective, Error, Id, Key, Kind, Listing, Node, check};
 
-/// A valid tree of nodes. It is changed by `apply` alone, and one that comes
-/// from elsewhere is checked as it is decoded.
+/// A valid tree of nodes. Only `apply` changes it, and decoding validates it.
 #[message]
 #[derive(Eq)]
 #[serde(try_from = "Table<Id, Node>", into = "Table<Id, Node>")]
@@ -15,7 +14,7 @@
 }
 
 impl Tree {
-    /// Creates a tree that holds the root alone.
+    /// Creates a tree that contains only the root.
     #[must_use]
     pub fn new() -> Self {
         let root = Node::new(None, Kind::Root, "root");
@@ -24,7 +23,7 @@
         }
     }
 
-    /// Checks the nodes, which are in order, and makes a tree of them.
+    /// Creates a tree from nodes sorted by identifier, after validating them.
     pub(crate) fn checked(nodes: Table<Id, Node>) -> Result<Self, Error> {
         match check::faults(&nodes).into_iter().next() {
             Some(fault) => Err(fault),
@@ -44,7 +43,7 @@
         &self.nodes
     }
 
-    /// Returns the nodes right below `id`.
+    /// Returns the children of `id`.
     pub fn children<'a>(&'a self, id: &'a Id) -> impl Iterator<Item = (&'a Id, &'a Node)> {
         self.nodes
             .iter()
@@ -63,7 +62,7 @@
         format!("/{}", names.join("/"))
     }
 
-    /// Returns the node `id` and the nodes above it, the root last.
+    /// Returns the node `id` and its ancestors, the root last.
     pub fn lineage<'a>(&'a self, id: &'a Id) -> impl Iterator<Item = (&'a Id, &'a Node)> {
         let first = self.nodes.get(id).map(|node| (id, node));
         std::iter::successors(first, |(_, node)| {
@@ -72,13 +71,13 @@
         })
     }
 
-    /// Returns the value of `key` at the node `id`, and the node it comes
-    /// from.
+    /// Returns the value of `key` at the node `id`, and the node that it is
+    /// inherited from.
     ///
     /// # Errors
     ///
     /// [`Error::Missing`] if there is no such node, [`Error::Misplaced`] if
-    /// the key means nothing to its kind.
+    /// the key does not apply to its kind.
     pub fn effective(&self, id: &Id, key: Key) -> Result<Effective, Error> {
         let node = self
             .nodes
@@ -94,7 +93,7 @@
         Ok(self.inherited(id, key))
     }
 
-    /// Returns all values that mean something at the node `id`.
+    /// Returns all values that apply to the node `id`.
     ///
     /// # Errors
     ///
@@ -138,13 +137,13 @@
 impl TryFrom<Table<Id, Node>> for Tree {
     type Error = Error;
 
-    /// Checks the nodes and makes a tree of them.
+    /// Validates the nodes and creates a tree from them.
     ///
     /// # Errors
     ///
-    /// The first rule that is broken.
+    /// The first rule that is violated.
     fn try_from(rows: Table<Id, Node>) -> Result<Self, Error> {
-        // The rows are put in order again: a decoded table may lack it.
+        // A decoded table may be unsorted.
         let count = rows.len();
         let nodes: Table<Id, Node> = rows
             .iter()
--- a/crates/settings/src/value.rs
+++ b/crates/settings/src/value.rs
@@ -7,11 +7,11 @@
 
 use crate::Route;
 
-/// The number of millionths in one.
+/// The number of millionths in 1.
 pub(crate) const MILLION: u32 = 1_000_000;
 
-/// A typed value. It holds no floating-point number, so that it is the same
-/// after any number of encodings.
+/// A typed value. It contains no floating-point number, so it survives any
+/// number of encodings unchanged.
 #[identifier]
 #[serde(rename_all = "kebab-case")]
 pub enum Value {
@@ -21,7 +21,7 @@
     Integer(u64),
     /// A decimal number, in millionths.
     Fraction(u32),
-    /// A length of time, in milliseconds.
+    /// A duration, in milliseconds.
     Duration(u64),
     /// Text.
     Text(String),
@@ -32,7 +32,7 @@
 }
 
 impl Value {
-    /// Returns the value as people write it in JSON or TOML: durations as
+    /// Returns the value in its human-readable JSON or TOML form: durations as
     /// text such as `30s`, fractions as decimal numbers.
     #[must_use]
     pub fn plain(&self) -> serde_json::Value {
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Returns the truth value, if it is one.
+    /// Returns the Boolean, if it is one.
     #[must_use]
     pub const fn as_boolean(&self) -> Option<bool> {
         match self {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Returns the length of time, if it is one.
+    /// Returns the duration, if it is one.
     #[must_use]
     pub const fn as_duration(&self) -> Option<Duration> {
         match self {
--- a/crates/settings/tests/tree.rs
+++ b/crates/settings/tests/tree.rs
@@ -1,4 +1,4 @@
-//! Inheritance, edits as a whole or not at all, and the rules of a tree.
+//! Inheritance, atomic edits and the validation rules of a tree.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::number::Revision;
--- a/crates/spread/src/census.rs
+++ b/crates/spread/src/aggregate.rs
@@ -12,59 +12,61 @@
 use crate::log::Log;
 use crate::options::Options;
 use crate::peer::Peer;
-use crate::report::{Evidence, Laggard, Place, Report, millis};
-use crate::structure::Structure;
+use crate::report::{Acknowledgement, Laggard, Place, Report, millis};
+use crate::topology::Topology;
 
 /// How long a child may lack a revision before it is named: pushes are on
 /// their way for that long.
-const GRACE: Duration = Duration::from_secs(1);
+const PUSH_GRACE: Duration = Duration::from_secs(1);
 
 /// What a node knows when it counts.
-pub(crate) struct Census<'a> {
+pub(crate) struct Aggregate<'a> {
     pub(crate) own: &'a Record,
     pub(crate) options: &'a Options,
     pub(crate) log: &'a Log,
     pub(crate) journal: &'a Journal,
     pub(crate) liveness: &'a Liveness,
-    pub(crate) structure: &'a Structure,
+    pub(crate) topology: &'a Topology,
     pub(crate) peers: &'a Table<Process, Peer>,
     pub(crate) now: Instant,
 }
 
-impl Census<'_> {
+impl Aggregate<'_> {
     /// Returns what the node's subtree holds and lacks.
     pub(crate) fn subtree(&self) -> Report {
-        let life = self.liveness.life();
+        let instance = self.liveness.instance();
         let mut report = Report {
-            evidence: Evidence {
-                lives: Fingerprint::of(&self.own.process, life.incarnation),
+            acknowledgement: Acknowledgement {
+                fingerprint: Fingerprint::of(&self.own.process, instance.incarnation),
                 held: self.log.held(),
                 age_ms: 0,
             },
             lacking: 0,
             laggards: Vec::new(),
         };
-        for child in &self.structure.children {
-            self.join_child(&mut report, child);
+        for child in &self.topology.children {
+            self.merge_child(&mut report, child);
         }
-        for process in &self.structure.adopted {
+        for process in &self.topology.dead_successors {
             let health = self.liveness.health(process);
             let since = health.map_or(self.now, |health| health.since);
-            report.lack(self.laggard(process, since), self.options.named);
+            report.add_laggard(self.laggard(process, since), self.options.laggards_max);
         }
         report
     }
 
-    fn join_child(&self, report: &mut Report, child: &Process) {
+    fn merge_child(&self, report: &mut Report, child: &Process) {
         let Some(peer) = self.peers.get(child) else {
             return;
         };
         if let Some((sub, elapsed)) = self.fresh(peer) {
-            report.join(sub, elapsed, self.options.named);
+            report.merge(sub, elapsed, self.options.laggards_max);
         }
-        let behind = peer.behind.filter(|since| self.elapsed(*since) >= GRACE);
+        let behind = peer
+            .behind_since
+            .filter(|since| self.elapsed(*since) >= PUSH_GRACE);
         if let Some(since) = behind {
-            report.lack(self.laggard(child, since), self.options.named);
+            report.add_laggard(self.laggard(child, since), self.options.laggards_max);
         }
     }
 
@@ -85,8 +87,8 @@
     fn fresh<'p>(&self, peer: &'p Peer) -> Option<(&'p Report, Duration)> {
         let (report, asked) = peer.report.as_ref()?;
         let elapsed = self.elapsed(*asked);
-        let age = elapsed + Duration::from_millis(report.evidence.age_ms);
-        (age <= self.options.evidence).then_some((report, elapsed))
+        let age = elapsed + Duration::from_millis(report.acknowledgement.age_ms);
+        (age <= self.options.acknowledgement_max_age).then_some((report, elapsed))
     }
 
     /// Returns the report of a data centre and how long ago it was asked for.
@@ -94,7 +96,7 @@
         if *name == self.own.data_centre {
             return Some((self.subtree(), Duration::ZERO));
         }
-        let (_, heads) = self.structure.heads.iter().find(|(of, _)| of == name)?;
+        let (_, heads) = self.topology.heads.iter().find(|(of, _)| of == name)?;
         let mut peers = heads.iter().filter_map(|head| self.peers.get(head));
         let (report, elapsed) = peers.find_map(|peer| self.fresh(peer))?;
         Some((report.clone(), elapsed))
@@ -107,17 +109,17 @@
     /// on the roster, and the roster has to be known up to the version at
     /// which the revision was written: whoever joined later has read it.
     pub(crate) fn in_force(&self) -> Option<Sequence> {
-        if !self.structure.is_head() {
+        if !self.topology.is_head() {
             return None;
         }
         let roster = self.journal.roster();
         let mut held = self.log.held();
         for (name, lives) in roster.data_centres() {
             let (report, _) = self.data_centre(name)?;
-            if report.evidence.lives != lives {
+            if report.acknowledgement.fingerprint != lives {
                 return None;
             }
-            held = held.min(report.evidence.held);
+            held = held.min(report.acknowledgement.held);
         }
         // The version of a later revision bounds that of `held`.
         let complete = roster.confirmed() >= self.log.version();
@@ -128,8 +130,8 @@
     /// the first of them.
     pub(crate) fn lacking(&self) -> (u32, Vec<Laggard>) {
         let mut total = Report {
-            evidence: Evidence {
-                lives: Fingerprint::default(),
+            acknowledgement: Acknowledgement {
+                fingerprint: Fingerprint::default(),
                 held: self.log.held(),
                 age_ms: 0,
             },
@@ -138,22 +140,22 @@
         };
         for (name, _) in self.journal.roster().data_centres() {
             match self.data_centre(name) {
-                Some((report, elapsed)) => total.join(&report, elapsed, self.options.named),
-                None => total.lack(self.silent(name), self.options.named),
+                Some((report, elapsed)) => total.merge(&report, elapsed, self.options.laggards_max),
+                None => total.add_laggard(self.unresponsive(name), self.options.laggards_max),
             }
         }
         (total.lacking, total.laggards)
     }
 
-    fn silent(&self, name: &DataCentre) -> Laggard {
-        let found = self.structure.heads.iter().find(|(of, _)| of == name);
+    fn unresponsive(&self, name: &DataCentre) -> Laggard {
+        let found = self.topology.heads.iter().find(|(of, _)| of == name);
         let heads = found.map_or(&[][..], |(_, heads)| heads);
         let peers = || heads.iter().filter_map(|head| self.peers.get(head));
-        let silence = peers().map(|peer| peer.silence(self.now)).min();
+        let idle = peers().map(|peer| peer.idle_time(self.now)).min();
         Laggard {
             place: Place::DataCentre(name.clone()),
             held: peers().map(|peer| peer.held).max().unwrap_or_default(),
-            for_ms: millis(silence.unwrap_or_default()),
+            for_ms: millis(idle.unwrap_or_default()),
         }
     }
 
--- a/crates/spread/src/journal.rs
+++ b/crates/spread/src/journal.rs
@@ -52,7 +52,7 @@
     }
 
     /// Takes in a change and tells whether the roster moved on.
-    pub(crate) fn take(&mut self, delta: Delta) -> bool {
+    pub(crate) fn apply(&mut self, delta: Delta) -> bool {
         let moved = self.roster.apply(&delta);
         if moved {
             self.tail.push(delta);
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -11,8 +11,8 @@
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
+mod aggregate;
 mod bucket;
-mod census;
 mod command;
 mod journal;
 mod log;
@@ -26,15 +26,15 @@
 mod stamp;
 mod standing;
 mod status;
-mod structure;
 mod tail;
+mod topology;
 mod watch;
 
 pub use command::{Answer, Call, Command, Ticket};
 pub use message::{Fetch, Message, Ping, Pong, Summary};
 pub use node::Node;
 pub use options::Options;
-pub use report::{Evidence, Laggard, Place, Report};
+pub use report::{Acknowledgement, Laggard, Place, Report};
 pub use span::Span;
 pub use standing::Standing;
 pub use status::Status;
--- a/crates/spread/src/log.rs
+++ b/crates/spread/src/log.rs
@@ -8,7 +8,7 @@
 
 /// What became of a span.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Taken {
+pub(crate) enum Outcome {
     /// It took the process to a later revision.
     Applied,
     /// The process holds it already.
@@ -48,12 +48,12 @@
     }
 
     /// Takes in a span if it leads on from what is held.
-    pub(crate) fn take(&mut self, span: &Span) -> Taken {
+    pub(crate) fn apply(&mut self, span: &Span) -> Outcome {
         if span.through <= self.held {
-            return Taken::Known;
+            return Outcome::Known;
         }
         if span.after > self.held {
-            return Taken::Gap;
+            return Outcome::Gap;
         }
         self.held = span.through;
         self.version = self.version.max(span.version);
@@ -61,11 +61,11 @@
             self.snapshot = Some(span.clone());
         }
         self.tail.push(span.clone());
-        Taken::Applied
+        Outcome::Applied
     }
 
     /// Keeps `snapshot` for processes that lack more than the latest spans.
-    pub(crate) fn keep(&mut self, snapshot: Span) {
+    pub(crate) fn keep_snapshot(&mut self, snapshot: Span) {
         let known = self.snapshot.as_ref().map(|span| span.through);
         if snapshot.after == Sequence(0) && known < Some(snapshot.through) {
             self.snapshot = Some(snapshot);
--- a/crates/spread/src/message.rs
+++ b/crates/spread/src/message.rs
@@ -93,5 +93,5 @@
     Relay(Process),
     /// Tells that a process was heard on the receiver's behalf.
     #[serde(rename = "h")]
-    Heard(Process),
+    Reached(Process),
 }
--- a/crates/spread/src/node.rs
+++ b/crates/spread/src/node.rs
@@ -1,6 +1,6 @@
 //! The part of one process in membership and spread.
 
-mod enter;
+mod join;
 mod platform;
 mod receive;
 mod send;
@@ -17,21 +17,21 @@
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
 
+use crate::aggregate::Aggregate;
 use crate::bucket::Bucket;
-use crate::census::Census;
 use crate::command::Command;
 use crate::journal::Journal;
 use crate::log::Log;
 use crate::options::Options;
 use crate::peer::Peer;
 use crate::relay::Relays;
-use crate::report::{Evidence, Laggard};
+use crate::report::{Acknowledgement, Laggard};
 use crate::span::Span;
 use crate::stamp::Stamps;
-use crate::standing::{Entrance, Standing};
+use crate::standing::{Join, Standing};
 use crate::status::Status;
-use crate::structure::Structure;
-use crate::watch::{Calls, Doubts};
+use crate::topology::Topology;
+use crate::watch::{Calls, Stale};
 
 /// The part of one process in membership and spread.
 ///
@@ -49,25 +49,25 @@
     log: Log,
     newest: Sequence,
     in_force: Sequence,
-    told_in_force: Sequence,
-    told_report: Option<Evidence>,
+    announced_in_force: Sequence,
+    announced_report: Option<Acknowledgement>,
     lacking: Option<(u32, Vec<Laggard>, Instant)>,
-    structure: Structure,
+    topology: Topology,
     computed: Option<(Version, u64, Instant)>,
     seeds: Table<Process, SocketAddr>,
     peers: Table<Process, Peer>,
     relays: Relays,
     calls: Calls,
-    entrance: Entrance,
+    join: Join,
     leaving: bool,
     superseded: bool,
     pushes: Bucket,
     bulk: Bucket,
-    turn: usize,
+    next_contact: usize,
     exchanged: Option<Instant>,
     fetched: Option<Instant>,
-    lagging: Option<Instant>,
-    doubts: Doubts,
+    lagging_since: Option<Instant>,
+    stale: Stale,
     started: Instant,
 }
 
@@ -88,36 +88,38 @@
     ) -> Self {
         let mut rng = StdRng::seed_from_u64(seed);
         let mut registration = Registration::new(&options.member, record);
-        registration.backoff().delay(now, options.start, &mut rng);
+        registration
+            .backoff()
+            .delay(now, options.start_jitter, &mut rng);
         let record = registration.record();
         let own = record.process.clone();
         let liveness = Liveness::new(options.member.clone(), own, record.incarnation);
         let backoff = Backoff::new(options.member.retry_min, options.member.retry_max);
         let mut node = Self {
             stamps: Stamps::new(now, rng.random()),
-            journal: Journal::new(options.kept),
-            log: Log::new(options.kept),
+            journal: Journal::new(options.retained),
+            log: Log::new(options.retained),
             newest: Sequence(0),
             in_force: Sequence(0),
-            told_in_force: Sequence(0),
-            told_report: None,
+            announced_in_force: Sequence(0),
+            announced_report: None,
             lacking: None,
-            structure: Structure::default(),
+            topology: Topology::default(),
             computed: None,
             seeds,
             peers: Table::new(),
             relays: Relays::default(),
             calls: Calls::new(backoff),
-            entrance: Entrance::new(now + options.quarantine()),
+            join: Join::new(now + options.quarantine()),
             leaving: false,
             superseded: false,
             pushes: Bucket::new(options.rate, options.burst, now),
             bulk: Bucket::new(options.rate, options.burst, now),
-            turn: 0,
+            next_contact: 0,
             exchanged: None,
             fetched: None,
-            lagging: None,
-            doubts: Doubts::default(),
+            lagging_since: None,
+            stale: Stale::default(),
             started: now,
             registration,
             liveness,
@@ -171,7 +173,7 @@
     /// platform. It is no right to act: one watcher too many does no harm.
     #[must_use]
     pub fn watches(&self) -> bool {
-        let rank = self.structure.rank;
+        let rank = self.topology.rank;
         rank.is_some_and(|rank| rank < self.options.watchers)
     }
 
@@ -183,9 +185,9 @@
             Standing::Superseded
         } else if self.leaving {
             Standing::Leaving
-        } else if self.entrance.caught_up && self.out_of_touch(now) {
+        } else if self.join.caught_up && self.is_isolated(now) {
             Standing::Isolated
-        } else if self.entrance.open {
+        } else if self.join.complete {
             Standing::Serving
         } else {
             Standing::Joining
@@ -209,54 +211,54 @@
 
     /// Keeps `snapshot`, which starts after zero, for processes that lack more
     /// than the latest revisions.
-    pub fn keep(&mut self, snapshot: Span) {
-        self.log.keep(snapshot);
+    pub fn keep_snapshot(&mut self, snapshot: Span) {
+        self.log.keep_snapshot(snapshot);
     }
 
     /// Starts a planned stop: the record says that the process is leaving.
     pub fn leave(&mut self) {
         self.leaving = true;
-        self.registration.want(Some(State::Leaving));
+        self.registration.set_target(Some(State::Leaving));
     }
 
     /// Ends a planned stop: the record is taken off the roster.
     pub fn deregister(&mut self) {
         self.leaving = true;
-        self.registration.want(None);
+        self.registration.set_target(None);
     }
 
     /// Tells whether the platform holds the record as it is wanted.
     #[must_use]
     pub fn is_registered(&self) -> bool {
-        self.registration.settled()
+        self.registration.is_current()
     }
 
     /// Takes in a revision that this process wrote or read itself.
     pub fn on_accepted(&mut self, span: Span, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
-        self.take_spans(vec![span], None, now, &mut out);
+        self.apply_spans(vec![span], None, now, &mut out);
         out
     }
 
     /// Tells whether neither a peer nor the platform was heard for long.
-    fn out_of_touch(&self, now: Instant) -> bool {
+    fn is_isolated(&self, now: Instant) -> bool {
         if self.roster().len() <= 1 {
             return false;
         }
-        let peers = self.peers.values().filter_map(|peer| peer.heard);
+        let peers = self.peers.values().filter_map(|peer| peer.last_seen);
         let last = peers.chain(self.calls.answered()).max();
         let last = last.unwrap_or(self.started);
-        now.saturating_duration_since(last) > self.options.isolation
+        now.saturating_duration_since(last) > self.options.isolation_timeout
     }
 
-    fn census(&self, now: Instant) -> Census<'_> {
-        Census {
+    fn aggregate(&self, now: Instant) -> Aggregate<'_> {
+        Aggregate {
             own: self.registration.record(),
             options: &self.options,
             log: &self.log,
             journal: &self.journal,
             liveness: &self.liveness,
-            structure: &self.structure,
+            topology: &self.topology,
             peers: &self.peers,
             now,
         }
--- a/crates/spread/src/node/enter.rs
+++ b/crates/spread/src/node/join.rs
@@ -8,49 +8,49 @@
 use crate::node::Node;
 
 /// How many calls in a row fail before the platform counts as down.
-const FAILURES: u32 = 2;
+const OUTAGE_FAILURES: u32 = 2;
 
 /// How long the slowest peer is waited for while the platform is down.
-const PATIENCE: Duration = Duration::from_secs(2);
+const PEER_ANSWER_TIME: Duration = Duration::from_secs(2);
 
 impl Node {
     /// Notices at the start of each event that the process was out of touch:
     /// others may have gone on without it, so it enters anew.
-    pub(super) fn notice(&mut self, now: Instant) {
-        if self.entrance.open && self.out_of_touch(now) {
-            self.reenter(now);
+    pub(super) fn check_isolation(&mut self, now: Instant) {
+        if self.join.complete && self.is_isolated(now) {
+            self.rejoin(now);
         }
     }
 
-    pub(super) fn reenter(&mut self, now: Instant) {
-        self.entrance.reset(now);
-        self.registration.doubt();
+    pub(super) fn rejoin(&mut self, now: Instant) {
+        self.join.reset(now);
+        self.registration.invalidate();
     }
 
     /// Lets the process serve once it can prove the newest revision: read from
     /// the platform after its record was written, or, with the platform down,
     /// the newest of the peers that were asked and answered.
-    pub(super) fn enter(&mut self, now: Instant) {
-        if self.entrance.open || self.superseded {
+    pub(super) fn try_join(&mut self, now: Instant) {
+        if self.join.complete || self.superseded {
             return;
         }
-        if self.read_since_registered() || self.told_by_peers(now) {
-            self.entrance.pass();
+        if self.read_since_registered() || self.confirmed_by_peers(now) {
+            self.join.finish();
             if !self.leaving {
-                self.registration.want(Some(State::Serving));
+                self.registration.set_target(Some(State::Serving));
             }
         }
     }
 
     fn read_since_registered(&self) -> bool {
         let registered = self.registration.version();
-        self.entrance.read.is_some() && self.entrance.read == registered
+        self.join.read.is_some() && self.join.read == registered
     }
 
-    fn told_by_peers(&self, now: Instant) -> bool {
+    fn confirmed_by_peers(&self, now: Instant) -> bool {
         let failures = self.calls.failures().max(self.registration.failures());
-        let asked_for = now.saturating_duration_since(self.entrance.from);
-        if failures < FAILURES || now < self.entrance.from || asked_for < PATIENCE {
+        let asked_for = now.saturating_duration_since(self.join.from);
+        if failures < OUTAGE_FAILURES || now < self.join.from || asked_for < PEER_ANSWER_TIME {
             return false;
         }
         if self.roster().get(&self.record().process).is_none() {
@@ -58,7 +58,7 @@
         }
         let answered = self.peers.values().filter(|peer| {
             let at = peer.answered;
-            peer.caught_up && at.is_some_and(|at| at >= self.entrance.from)
+            peer.caught_up && at.is_some_and(|at| at >= self.join.from)
         });
         let answered: Vec<_> = answered.collect();
         let enough = self.options.quorum.min(self.roster().len() - 1).max(1);
@@ -69,46 +69,46 @@
     }
 
     /// Notices what the roster says of this process itself.
-    pub(super) fn notice_own_row(&mut self, now: Instant) {
+    pub(super) fn check_own_row(&mut self, now: Instant) {
         let roster = self.journal.roster();
         let row = roster.get(&self.registration.record().process);
         let known = row.map(|record| record.incarnation);
         let own = self.registration.record().incarnation;
         match known {
             Some(incarnation) if incarnation > own => {
-                self.registration.exceed(incarnation);
+                self.registration.raise_above(incarnation);
                 self.superseded |= self.registration.record().incarnation <= incarnation;
             }
             Some(incarnation) if incarnation == own => {
-                self.registration.exceed(incarnation);
+                self.registration.raise_above(incarnation);
             }
             Some(_) => {}
             None => {
                 let through = roster.through();
                 let version = self.registration.version();
                 if version.is_some_and(|version| version <= through) {
-                    self.reenter(now);
+                    self.rejoin(now);
                 }
             }
         }
-        self.follow_incarnation(now);
+        self.sync_incarnation(now);
     }
 
     /// Notices a later life of this process's name in a rumour.
-    pub(super) fn notice_later_life(&mut self, now: Instant) {
-        let Some(later) = self.liveness.superseded_by() else {
+    pub(super) fn check_later_incarnation(&mut self, now: Instant) {
+        let Some(later) = self.liveness.later_incarnation() else {
             return;
         };
-        self.registration.exceed(later);
+        self.registration.raise_above(later);
         self.superseded |= self.registration.record().incarnation <= later;
-        self.follow_incarnation(now);
+        self.sync_incarnation(now);
     }
 
     /// Lets the liveness tell the incarnation that the record has.
-    pub(super) fn follow_incarnation(&mut self, now: Instant) {
+    pub(super) fn sync_incarnation(&mut self, now: Instant) {
         let incarnation = self.registration.record().incarnation;
-        if incarnation > self.liveness.life().incarnation {
-            self.liveness.reborn(incarnation, now);
+        if incarnation > self.liveness.instance().incarnation {
+            self.liveness.set_incarnation(incarnation, now);
         }
     }
 }
--- a/crates/spread/src/node/platform.rs
+++ b/crates/spread/src/node/platform.rs
@@ -18,32 +18,32 @@
     /// [`Answer::Unanswered`].
     pub fn on_answer(&mut self, ticket: Ticket, answer: Answer, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
-        self.notice(now);
+        self.check_isolation(now);
         let Some(purpose) = self.calls.close(ticket) else {
             return out;
         };
         if purpose == Purpose::Own {
-            self.own_answered(answer, now);
+            self.on_own_answer(answer, now);
             return out;
         }
         match answer {
             Answer::Settings(spans) => {
                 self.calls.succeed(now);
-                self.settings_read(purpose, spans, now, &mut out);
+                self.on_settings(purpose, spans, now, &mut out);
             }
             Answer::Members(delta) => {
                 self.calls.succeed(now);
-                self.members_read(purpose, delta, now, &mut out);
+                self.on_members(purpose, delta, now, &mut out);
             }
             Answer::Expired => self.calls.succeed(now),
             Answer::Own(_) | Answer::Unanswered => self.calls.fail(now, &mut self.rng),
         }
         self.call(now, &mut out);
-        self.enter(now);
+        self.try_join(now);
         out
     }
 
-    fn own_answered(&mut self, answer: Answer, now: Instant) {
+    fn on_own_answer(&mut self, answer: Answer, now: Instant) {
         let answer = match answer {
             Answer::Own(answer) => answer,
             _ => registration::Answer::Unanswered,
@@ -53,43 +53,37 @@
         }
         self.registration.answer(answer, now, &mut self.rng);
         self.superseded |= self.registration.superseded();
-        self.follow_incarnation(now);
+        self.sync_incarnation(now);
     }
 
-    fn settings_read(
+    fn on_settings(
         &mut self,
         purpose: Purpose,
         spans: Vec<Span>,
         now: Instant,
         out: &mut Vec<Command>,
     ) {
-        let gap = self.take_spans(spans, None, now, out);
+        let gap = self.apply_spans(spans, None, now, out);
         let read = purpose == Purpose::ReadSettings;
         // A watch may have skipped a revision; a plain read has not, and a gap
         // after one means that only a snapshot leads on.
-        self.doubts.settings = if read {
+        self.stale.settings = if read {
             gap
         } else {
-            gap || self.doubts.settings
+            gap || self.stale.settings
         };
         if read && !gap {
-            self.entrance.read = self.entrance.asked_after;
+            self.join.read = self.join.asked_after;
         }
     }
 
-    fn members_read(
-        &mut self,
-        purpose: Purpose,
-        delta: Delta,
-        now: Instant,
-        out: &mut Vec<Command>,
-    ) {
+    fn on_members(&mut self, purpose: Purpose, delta: Delta, now: Instant, out: &mut Vec<Command>) {
         if purpose == Purpose::WatchMembers {
             // A watch may skip changes, so that it only tells when to read.
-            self.doubts.members |= !delta.is_empty();
+            self.stale.members |= !delta.is_empty();
             return;
         }
-        self.doubts.members = false;
+        self.stale.members = false;
         let roster = self.journal.roster();
         let (complete, known) = (delta.through, roster.through());
         if delta.after > roster.confirmed() {
@@ -99,7 +93,7 @@
             // Nothing changed between the roster's last change and the read.
             let after = delta.after.min(known);
             let delta = Delta { after, ..delta };
-            self.take_delta(delta.trimmed(), None, now, out);
+            self.apply_delta(delta.trimmed(), None, now, out);
         }
         self.journal.confirm(complete);
     }
@@ -111,7 +105,7 @@
             self.watch(now, out);
         }
         self.read(now, out);
-        if self.structure.is_head() {
+        if self.topology.is_head() {
             self.expire(now, out);
         }
     }
@@ -126,7 +120,7 @@
     }
 
     fn watch(&mut self, now: Instant, out: &mut Vec<Command>) {
-        let wait = self.options.watch;
+        let wait = self.options.watch_timeout;
         if self.calls.free(Purpose::WatchSettings, now) {
             let after = self.log.version();
             let call = Call::Settings { after, wait };
@@ -140,10 +134,13 @@
     }
 
     fn read(&mut self, now: Instant, out: &mut Vec<Command>) {
-        let late = self.doubts.late.is_some_and(|at| now >= at);
+        let late = self.stale.fallback_at.is_some_and(|at| now >= at);
         if late {
-            let pause = self.options.late.mul_f64(1.0 + self.rng.random::<f64>());
-            self.doubts.late = Some(now + pause);
+            let pause = self
+                .options
+                .fallback_delay
+                .mul_f64(1.0 + self.rng.random::<f64>());
+            self.stale.fallback_at = Some(now + pause);
         }
         self.read_settings(late, now, out);
         self.read_members(late, now, out);
@@ -151,14 +148,14 @@
 
     fn read_settings(&mut self, late: bool, now: Instant, out: &mut Vec<Command>) {
         let registered = self.registration.version();
-        let entering = !self.entrance.open && registered.is_some();
-        let unread = entering && self.entrance.read != registered;
-        let wanted = unread || self.doubts.settings || (late && self.log.held() < self.newest);
+        let entering = !self.join.complete && registered.is_some();
+        let unread = entering && self.join.read != registered;
+        let wanted = unread || self.stale.settings || (late && self.log.held() < self.newest);
         if !wanted || !self.calls.free(Purpose::ReadSettings, now) {
             return;
         }
-        self.entrance.asked_after = registered;
-        let after = if self.doubts.settings {
+        self.join.asked_after = registered;
+        let after = if self.stale.settings {
             Version(0)
         } else {
             self.log.version()
@@ -171,9 +168,9 @@
     fn read_members(&mut self, late: bool, now: Instant, out: &mut Vec<Command>) {
         let registered = self.registration.version();
         let after = self.roster().confirmed();
-        let entering = !self.entrance.open && registered > Some(after);
-        let unproved = self.structure.is_head() && self.log.version() > after;
-        let wanted = entering || unproved || late || self.doubts.members;
+        let entering = !self.join.complete && registered > Some(after);
+        let unproved = self.topology.is_head() && self.log.version() > after;
+        let wanted = entering || unproved || late || self.stale.members;
         if wanted && self.calls.free(Purpose::ReadMembers, now) {
             let wait = Duration::ZERO;
             let call = Call::Members { after, wait };
--- a/crates/spread/src/node/receive.rs
+++ b/crates/spread/src/node/receive.rs
@@ -5,7 +5,7 @@
 use cactusnotch_member::Delta;
 
 use crate::command::Command;
-use crate::log::Taken;
+use crate::log::Outcome;
 use crate::message::{Fetch, Message, Ping, Pong, Summary};
 use crate::node::Node;
 use crate::span::Span;
@@ -14,44 +14,44 @@
     /// Takes in a message of peer `from`, whose name the link has proved.
     pub fn on_message(&mut self, from: &Process, message: Message, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
-        self.notice(now);
-        self.peer(from, now).heard = Some(now);
-        for asker in self.relays.heard(from, now) {
-            Self::send(&asker, Message::Heard(from.clone()), &mut out);
+        self.check_isolation(now);
+        self.peer(from, now).last_seen = Some(now);
+        for requester in self.relays.close(from, now) {
+            Self::send(&requester, Message::Reached(from.clone()), &mut out);
         }
         match message {
-            Message::Ping(ping) => self.pinged(from, ping, now, &mut out),
-            Message::Pong(pong) => self.answered(from, pong, now, &mut out),
+            Message::Ping(ping) => self.on_ping(from, ping, now, &mut out),
+            Message::Pong(pong) => self.on_pong(from, pong, now, &mut out),
             Message::Span(span) => {
                 let peer = self.peer(from, now);
                 peer.held = peer.held.max(span.through);
-                self.take_spans(vec![span], Some(from), now, &mut out);
+                self.apply_spans(vec![span], Some(from), now, &mut out);
             }
             Message::Delta(delta) => {
                 let peer = self.peer(from, now);
                 peer.roster = peer.roster.max(delta.through);
-                self.take_delta(delta, Some(from), now, &mut out);
+                self.apply_delta(delta, Some(from), now, &mut out);
             }
-            Message::Fetch(fetch) => self.asked(from, &fetch, now, &mut out),
+            Message::Fetch(fetch) => self.on_fetch(from, &fetch, now, &mut out),
             Message::Relay(target) => {
                 if self.relays.open(from, &target, now) {
                     self.ping(&target, now, &mut out);
                 }
             }
-            Message::Heard(target) => {
+            Message::Reached(target) => {
                 if let Some(peer) = self.peers.get_mut(&target) {
-                    peer.heard = Some(now);
+                    peer.last_seen = Some(now);
                 }
             }
         }
-        self.enter(now);
+        self.try_join(now);
         out
     }
 
-    fn pinged(&mut self, from: &Process, ping: Ping, now: Instant, out: &mut Vec<Command>) {
-        self.learn(from, &ping.summary, now);
+    fn on_ping(&mut self, from: &Process, ping: Ping, now: Instant, out: &mut Vec<Command>) {
+        self.apply_summary(from, &ping.summary, now);
         self.peer(from, now).asked = Some(ping.stamp);
-        if self.structure.parent.as_ref() == Some(from) {
+        if self.topology.parent.as_ref() == Some(from) {
             let told = ping.lacking;
             self.lacking = told.map(|(count, laggards)| (count, laggards, now));
         }
@@ -59,8 +59,8 @@
         self.offer(from, false, now, out);
     }
 
-    fn answered(&mut self, from: &Process, pong: Pong, now: Instant, out: &mut Vec<Command>) {
-        self.learn(from, &pong.summary, now);
+    fn on_pong(&mut self, from: &Process, pong: Pong, now: Instant, out: &mut Vec<Command>) {
+        self.apply_summary(from, &pong.summary, now);
         if let Some(asked) = self.stamps.read(pong.stamp, now) {
             let peer = self.peer(from, now);
             peer.answered = peer.answered.max(Some(asked));
@@ -71,27 +71,27 @@
         self.offer(from, false, now, out);
     }
 
-    fn learn(&mut self, from: &Process, summary: &Summary, now: Instant) {
-        self.peer(from, now).hear(summary);
+    fn apply_summary(&mut self, from: &Process, summary: &Summary, now: Instant) {
+        self.peer(from, now).record_summary(summary);
         self.newest = self.newest.max(summary.held);
         self.in_force = self.in_force.max(summary.in_force);
         for rumour in &summary.rumours {
-            self.liveness.hear(rumour, self.journal.roster(), now);
+            self.liveness.apply(rumour, self.journal.roster(), now);
         }
-        self.notice_later_life(now);
+        self.check_later_incarnation(now);
     }
 
-    fn asked(&mut self, from: &Process, fetch: &Fetch, now: Instant, out: &mut Vec<Command>) {
+    fn on_fetch(&mut self, from: &Process, fetch: &Fetch, now: Instant, out: &mut Vec<Command>) {
         let peer = self.peer(from, now);
         peer.held = fetch.held;
         peer.roster = fetch.roster;
-        peer.retract();
+        peer.clear_offers();
         self.offer(from, true, now, out);
     }
 
     /// Takes in spans, puts them into force in order, passes them on and tells
     /// whether revisions before one of them are missing.
-    pub(super) fn take_spans(
+    pub(super) fn apply_spans(
         &mut self,
         spans: Vec<Span>,
         from: Option<&Process>,
@@ -101,13 +101,13 @@
         let (mut gap, mut moved) = (false, false);
         for span in spans {
             self.newest = self.newest.max(span.through);
-            match self.log.take(&span) {
-                Taken::Applied => {
+            match self.log.apply(&span) {
+                Outcome::Applied => {
                     moved = true;
                     out.push(Command::Apply(span));
                 }
-                Taken::Known => {}
-                Taken::Gap => gap = true,
+                Outcome::Known => {}
+                Outcome::Gap => gap = true,
             }
         }
         if moved {
@@ -120,7 +120,7 @@
     }
 
     /// Takes in a change of the roster and passes it on.
-    pub(super) fn take_delta(
+    pub(super) fn apply_delta(
         &mut self,
         delta: Delta,
         from: Option<&Process>,
@@ -128,9 +128,9 @@
         out: &mut Vec<Command>,
     ) {
         let through = delta.through;
-        if self.journal.take(delta) {
+        if self.journal.apply(delta) {
             out.push(Command::Roster);
-            self.notice_own_row(now);
+            self.check_own_row(now);
             self.push(now, out);
         } else if let Some(peer) = from.filter(|_| through > self.roster().through()) {
             self.fetch_paced(peer, now, out);
@@ -140,7 +140,7 @@
     fn fetch_paced(&mut self, from: &Process, now: Instant, out: &mut Vec<Command>) {
         let paced = self
             .fetched
-            .is_some_and(|at| now.saturating_duration_since(at) < self.options.repeat / 2);
+            .is_some_and(|at| now.saturating_duration_since(at) < self.options.repeat_interval / 2);
         if !paced {
             self.fetch(from, now, out);
         }
--- a/crates/spread/src/node/send.rs
+++ b/crates/spread/src/node/send.rs
@@ -25,14 +25,14 @@
             held: self.log.held(),
             roster: self.roster().through(),
             in_force: self.in_force,
-            caught_up: self.entrance.caught_up,
+            caught_up: self.join.caught_up,
             rumours: self.liveness.rumours(to),
         }
     }
 
     pub(super) fn ping(&mut self, to: &Process, now: Instant, out: &mut Vec<Command>) {
         self.peer(to, now).pinged = Some(now);
-        let child = self.structure.children.contains(to);
+        let child = self.topology.children.contains(to);
         let told = self.lacking.as_ref().filter(|_| child);
         let lacking = told.map(|(count, laggards, _)| (*count, laggards.clone()));
         let ping = Ping {
@@ -47,7 +47,7 @@
     /// head to head, to other data centres.
     pub(super) fn pong(&mut self, to: &Process, stamp: u64, now: Instant, out: &mut Vec<Command>) {
         let wanted = self.reports_to(to);
-        let report = wanted.then(|| self.census(now).subtree());
+        let report = wanted.then(|| self.aggregate(now).subtree());
         let pong = Pong {
             stamp,
             summary: self.summary(to),
@@ -57,14 +57,14 @@
     }
 
     pub(super) fn reports_to(&self, to: &Process) -> bool {
-        if self.structure.parent.as_ref() == Some(to) {
+        if self.topology.parent.as_ref() == Some(to) {
             return true;
         }
         let elsewhere = self
             .roster()
             .get(to)
             .is_some_and(|record| record.data_centre != self.registration.record().data_centre);
-        elsewhere && self.structure.is_head()
+        elsewhere && self.topology.is_head()
     }
 
     pub(super) fn fetch(&mut self, from: &Process, now: Instant, out: &mut Vec<Command>) {
@@ -86,7 +86,7 @@
         out: &mut Vec<Command>,
     ) {
         self.offer_roster(to, asked, now, out);
-        let repeat = self.options.repeat;
+        let repeat = self.options.repeat_interval;
         let Some(peer) = self.peers.get(to) else {
             return;
         };
@@ -106,7 +106,7 @@
     }
 
     fn offer_roster(&mut self, to: &Process, asked: bool, now: Instant, out: &mut Vec<Command>) {
-        let repeat = self.options.repeat;
+        let repeat = self.options.repeat_interval;
         let Some(peer) = self.peers.get(to) else {
             return;
         };
@@ -125,7 +125,7 @@
     }
 
     fn afford(&mut self, bytes: usize, asked: bool, now: Instant) -> bool {
-        if bytes <= self.options.unasked {
+        if bytes <= self.options.push_max {
             self.pushes.take(bytes, now)
         } else {
             asked && self.bulk.take(bytes, now)
@@ -134,7 +134,7 @@
 
     /// Sends what is new to the neighbours in the tree.
     pub(super) fn push(&mut self, now: Instant, out: &mut Vec<Command>) {
-        let neighbours: Vec<Process> = self.structure.tree().cloned().collect();
+        let neighbours: Vec<Process> = self.topology.tree().cloned().collect();
         for neighbour in neighbours {
             self.peer(&neighbour, now);
             self.offer(&neighbour, false, now, out);
--- a/crates/spread/src/node/tick.rs
+++ b/crates/spread/src/node/tick.rs
@@ -10,32 +10,32 @@
 use crate::command::Command;
 use crate::message::Message;
 use crate::node::Node;
-use crate::structure::Structure;
+use crate::topology::Topology;
 
 /// How many peers are asked to ping one that is silent.
 const HELPERS: usize = 3;
 
 /// How often a process that counts as dead is tried again.
-const RETRY: Duration = Duration::from_secs(5);
+const DEAD_PING_INTERVAL: Duration = Duration::from_secs(5);
 
 /// How long a peer that is no neighbour is remembered after its last message.
-const MEMORY: Duration = Duration::from_mins(1);
+const PEER_RETENTION: Duration = Duration::from_mins(1);
 
 impl Node {
     /// Does what is due at `now`.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
-        self.notice(now);
+        self.check_isolation(now);
         self.liveness.tick(self.journal.roster(), now);
         self.restructure(now);
         self.ping_due(now, &mut out);
         self.probe(now, &mut out);
-        self.judge_children(now);
-        self.count(now);
-        self.tell(now, &mut out);
+        self.update_children(now);
+        self.update_in_force(now);
+        self.announce(now, &mut out);
         self.catch_up(now, &mut out);
         self.call(now, &mut out);
-        self.enter(now);
+        self.try_join(now);
         out
     }
 
@@ -45,7 +45,7 @@
         let generation = self.liveness.generation();
         let drawn = match self.computed {
             Some((of, at_generation, drawn))
-                if now.saturating_duration_since(drawn) < self.options.redraw =>
+                if now.saturating_duration_since(drawn) < self.options.contact_lifetime =>
             {
                 if (of, at_generation) == (version, generation) {
                     return;
@@ -53,21 +53,21 @@
                 drawn
             }
             _ => {
-                self.structure.contacts.clear();
+                self.topology.contacts.clear();
                 now
             }
         };
         let watched = self.watches();
-        self.structure = Structure::compute(
+        self.topology = Topology::compute(
             self.registration.record(),
             self.journal.roster(),
             &self.liveness,
             &self.options,
-            &self.structure,
+            &self.topology,
             &mut self.rng,
         );
         self.computed = Some((version, generation, drawn));
-        self.forget(now);
+        self.drop_peers(now);
         if self.watches() && !watched {
             let spread = Duration::from_secs(1);
             self.calls.delay(now, spread, &mut self.rng);
@@ -76,44 +76,44 @@
 
     /// Forgets peers that the node has nothing to do with, and dates new
     /// neighbours from now.
-    fn forget(&mut self, now: Instant) {
-        let structure = &self.structure;
+    fn drop_peers(&mut self, now: Instant) {
+        let topology = &self.topology;
         self.peers.retain(|process, peer| {
-            let linked = structure.links().any(|link| link == process);
-            linked || peer.silence(now) < MEMORY
+            let linked = topology.links().any(|link| link == process);
+            linked || peer.idle_time(now) < PEER_RETENTION
         });
-        let neighbours: Vec<Process> = self.structure.tree().cloned().collect();
+        let neighbours: Vec<Process> = self.topology.tree().cloned().collect();
         for neighbour in neighbours {
             let known = self.peers.contains(&neighbour);
-            let probe = self.options.probe;
+            let probe = self.options.probe_timeout;
             let peer = self.peer(&neighbour, now);
-            if !known || peer.silence(now) > probe {
+            if !known || peer.idle_time(now) > probe {
                 peer.since = now;
             }
         }
     }
 
     fn ping_due(&mut self, now: Instant, out: &mut Vec<Command>) {
-        let every = self.options.ping;
-        let heads = self.structure.heads.iter();
+        let every = self.options.ping_interval;
+        let heads = self.topology.heads.iter();
         let heads = heads.flat_map(|(_, heads)| heads.iter().take(self.depth(heads, now)));
         let mut due: Vec<Process> = self
-            .structure
+            .topology
             .children
             .iter()
             .chain(heads)
             .cloned()
             .collect();
-        if !self.entrance.open {
-            due.extend(self.structure.parent.iter().cloned());
-            due.extend(self.structure.contacts.iter().cloned());
+        if !self.join.complete {
+            due.extend(self.topology.parent.iter().cloned());
+            due.extend(self.topology.contacts.iter().cloned());
             due.extend(self.unknown_seeds());
         }
         for process in due {
             self.ping_paced(&process, every, now, out);
         }
-        for process in self.structure.adopted.clone() {
-            self.ping_paced(&process, RETRY, now, out);
+        for process in self.topology.dead_successors.clone() {
+            self.ping_paced(&process, DEAD_PING_INTERVAL, now, out);
         }
         self.exchange(now, out);
     }
@@ -122,7 +122,7 @@
     /// one only while the first is silent.
     fn depth(&self, heads: &[Process], now: Instant) -> usize {
         let first = heads.first().and_then(|head| self.peers.get(head));
-        let silent = first.is_some_and(|peer| peer.silence(now) > self.options.probe);
+        let silent = first.is_some_and(|peer| peer.idle_time(now) > self.options.probe_timeout);
         1 + usize::from(silent)
     }
 
@@ -151,13 +151,13 @@
     fn exchange(&mut self, now: Instant, out: &mut Vec<Command>) {
         let paced = self
             .exchanged
-            .is_some_and(|at| now.saturating_duration_since(at) < self.options.exchange);
-        let contacts = &self.structure.contacts;
+            .is_some_and(|at| now.saturating_duration_since(at) < self.options.exchange_interval);
+        let contacts = &self.topology.contacts;
         if paced || contacts.is_empty() {
             return;
         }
-        self.turn = (self.turn + 1) % contacts.len();
-        let contact = contacts[self.turn].clone();
+        self.next_contact = (self.next_contact + 1) % contacts.len();
+        let contact = contacts[self.next_contact].clone();
         self.exchanged = Some(now);
         self.ping(&contact, now, out);
     }
@@ -165,29 +165,29 @@
     /// Probes neighbours that are silent, and suspects those whom nobody
     /// reaches. A node that hears nobody suspects itself rather than others.
     fn probe(&mut self, now: Instant, out: &mut Vec<Command>) {
-        let limit = self.options.probe;
-        let deaf = self.peers.values().all(|peer| peer.silence(now) > limit);
-        let tree: Vec<Process> = self.structure.tree().cloned().collect();
+        let limit = self.options.probe_timeout;
+        let is_alone = self.peers.values().all(|peer| peer.idle_time(now) > limit);
+        let tree: Vec<Process> = self.topology.tree().cloned().collect();
         for process in tree {
-            let silence = self.peer(&process, now).silence(now);
-            if silence <= limit {
+            let idle = self.peer(&process, now).idle_time(now);
+            if idle <= limit {
                 continue;
             }
-            self.ping_paced(&process, self.options.ping, now, out);
+            self.ping_paced(&process, self.options.ping_interval, now, out);
             self.relay(&process, now, out);
-            if silence > self.options.suspect && !deaf {
+            if idle > self.options.suspect_timeout && !is_alone {
                 self.suspect(&process, now);
             }
         }
     }
 
     fn relay(&mut self, target: &Process, now: Instant, out: &mut Vec<Command>) {
-        let every = self.options.ping;
+        let every = self.options.ping_interval;
         if self.peer(target, now).relayed_within(every, now) {
             return;
         }
         self.peer(target, now).relayed = Some(now);
-        let others = self.structure.links().filter(|link| *link != target);
+        let others = self.topology.links().filter(|link| *link != target);
         let helpers = others.choose_multiple(&mut self.rng, HELPERS);
         for helper in helpers {
             Self::send(helper, Message::Relay(target.clone()), out);
@@ -202,12 +202,12 @@
     }
 
     /// Notes since when each child lacks the newest revision or is silent.
-    fn judge_children(&mut self, now: Instant) {
-        for child in self.structure.children.clone() {
-            let (newest, probe) = (self.newest, self.options.probe);
+    fn update_children(&mut self, now: Instant) {
+        for child in self.topology.children.clone() {
+            let (newest, probe) = (self.newest, self.options.probe_timeout);
             let peer = self.peer(&child, now);
-            let lacks = peer.held < newest || peer.silence(now) > probe;
-            peer.behind = match peer.behind {
+            let lacks = peer.held < newest || peer.idle_time(now) > probe;
+            peer.behind_since = match peer.behind_since {
                 Some(since) if lacks => Some(since),
                 None if lacks => Some(now),
                 _ => None,
@@ -216,37 +216,39 @@
     }
 
     /// Counts, as the head, who holds and who lacks what.
-    fn count(&mut self, now: Instant) {
-        if !self.structure.is_head() {
+    fn update_in_force(&mut self, now: Instant) {
+        if !self.topology.is_head() {
             return;
         }
-        let proved = self.census(now).in_force();
+        let proved = self.aggregate(now).in_force();
         self.in_force = self.in_force.max(proved.unwrap_or_default());
-        let (lacking, laggards) = self.census(now).lacking();
+        let (lacking, laggards) = self.aggregate(now).lacking();
         self.lacking = (lacking > 0).then_some((lacking, laggards, now));
     }
 
     /// Tells at once what others wait for: a changed report upwards, a newly
     /// proved revision downwards.
-    fn tell(&mut self, now: Instant, out: &mut Vec<Command>) {
-        self.tell_report(now, out);
-        if self.in_force > self.told_in_force {
-            self.told_in_force = self.in_force;
-            for child in self.structure.children.clone() {
+    fn announce(&mut self, now: Instant, out: &mut Vec<Command>) {
+        self.announce_report(now, out);
+        if self.in_force > self.announced_in_force {
+            self.announced_in_force = self.in_force;
+            for child in self.topology.children.clone() {
                 self.ping(&child, now, out);
             }
         }
     }
 
-    fn tell_report(&mut self, now: Instant, out: &mut Vec<Command>) {
-        let evidence = self.census(now).subtree().evidence;
-        let told = self.told_report.map(|told| (told.lives, told.held));
-        if told == Some((evidence.lives, evidence.held)) {
+    fn announce_report(&mut self, now: Instant, out: &mut Vec<Command>) {
+        let acknowledgement = self.aggregate(now).subtree().acknowledgement;
+        let told = self
+            .announced_report
+            .map(|told| (told.fingerprint, told.held));
+        if told == Some((acknowledgement.fingerprint, acknowledgement.held)) {
             return;
         }
-        self.told_report = Some(evidence);
-        let heads = self.structure.heads.iter().flat_map(|(_, heads)| heads);
-        let readers = self.structure.parent.iter().chain(heads);
+        self.announced_report = Some(acknowledgement);
+        let heads = self.topology.heads.iter().flat_map(|(_, heads)| heads);
+        let readers = self.topology.parent.iter().chain(heads);
         let asked = readers.filter_map(|reader| {
             let stamp = self.peers.get(reader)?.asked?;
             Some((reader.clone(), stamp))
@@ -259,22 +261,22 @@
     /// Asks a peer for what the node has lacked for a while and was not sent.
     fn catch_up(&mut self, now: Instant, out: &mut Vec<Command>) {
         let (held, roster) = (self.log.held(), self.roster().through());
-        let probe = self.options.probe;
+        let probe = self.options.probe_timeout;
         let ahead = self.peers.iter().filter(|(_, peer)| {
             let more = peer.held > held || peer.roster > roster;
-            more && peer.silence(now) < probe
+            more && peer.idle_time(now) < probe
         });
         let source = ahead.map(|(process, _)| process).choose(&mut self.rng);
         let Some(source) = source.cloned() else {
-            self.lagging = None;
-            self.doubts.late = None;
+            self.lagging_since = None;
+            self.stale.fallback_at = None;
             return;
         };
-        let repeat = self.options.repeat;
-        let since = *self.lagging.get_or_insert(now);
-        let late = self.options.late;
-        if self.doubts.late.is_none() && now.saturating_duration_since(since) >= late {
-            self.doubts.late = Some(now + late.mul_f64(self.rng.random()));
+        let repeat = self.options.repeat_interval;
+        let since = *self.lagging_since.get_or_insert(now);
+        let late = self.options.fallback_delay;
+        if self.stale.fallback_at.is_none() && now.saturating_duration_since(since) >= late {
+            self.stale.fallback_at = Some(now + late.mul_f64(self.rng.random()));
         }
         let last = self.fetched.map_or(since, |fetched| fetched.max(since));
         if now.saturating_duration_since(last) >= repeat {
--- a/crates/spread/src/peer.rs
+++ b/crates/spread/src/peer.rs
@@ -22,7 +22,7 @@
     /// Since when the peer is listened for.
     pub(crate) since: Instant,
     /// When the peer was last heard.
-    pub(crate) heard: Option<Instant>,
+    pub(crate) last_seen: Option<Instant>,
     /// When the peer was last pinged.
     pub(crate) pinged: Option<Instant>,
     /// When others were last asked to ping the peer.
@@ -40,7 +40,7 @@
     /// The peer's last report, dated from when it was asked.
     pub(crate) report: Option<(Report, Instant)>,
     /// Since when the peer has lacked what this node knows of.
-    pub(crate) behind: Option<Instant>,
+    pub(crate) behind_since: Option<Instant>,
     spans: Option<Offer<Sequence>>,
     deltas: Option<Offer<Version>>,
 }
@@ -49,7 +49,7 @@
     pub(crate) const fn new(now: Instant) -> Self {
         Self {
             since: now,
-            heard: None,
+            last_seen: None,
             pinged: None,
             relayed: None,
             asked: None,
@@ -58,7 +58,7 @@
             held: Sequence(0),
             roster: Version(0),
             report: None,
-            behind: None,
+            behind_since: None,
             spans: None,
             deltas: None,
         }
@@ -66,15 +66,15 @@
 
     /// Takes in what the peer tells of itself. A peer that was restarted
     /// holds less than before.
-    pub(crate) const fn hear(&mut self, summary: &Summary) {
+    pub(crate) const fn record_summary(&mut self, summary: &Summary) {
         self.held = summary.held;
         self.roster = summary.roster;
         self.caught_up = summary.caught_up;
     }
 
     /// Returns for how long the peer has been silent.
-    pub(crate) fn silence(&self, now: Instant) -> Duration {
-        let last = self.heard.unwrap_or(self.since).max(self.since);
+    pub(crate) fn idle_time(&self, now: Instant) -> Duration {
+        let last = self.last_seen.unwrap_or(self.since).max(self.since);
         now.saturating_duration_since(last)
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Forgets what was sent, since the peer asks for it.
-    pub(crate) const fn retract(&mut self) {
+    pub(crate) const fn clear_offers(&mut self) {
         self.spans = None;
         self.deltas = None;
     }
--- a/crates/spread/src/relay.rs
+++ b/crates/spread/src/relay.rs
@@ -14,7 +14,7 @@
 /// A request to ping a process on behalf of another.
 #[derive(Debug)]
 struct Relay {
-    asker: Process,
+    requester: Process,
     target: Process,
     since: Instant,
 }
@@ -27,13 +27,13 @@
 
 impl Relays {
     /// Opens a request and tells whether there was room.
-    pub(crate) fn open(&mut self, asker: &Process, target: &Process, now: Instant) -> bool {
+    pub(crate) fn open(&mut self, requester: &Process, target: &Process, now: Instant) -> bool {
         self.open
             .retain(|relay| now.saturating_duration_since(relay.since) < OPEN);
         let room = self.open.len() < LIMIT;
         if room {
             self.open.push(Relay {
-                asker: asker.clone(),
+                requester: requester.clone(),
                 target: target.clone(),
                 since: now,
             });
@@ -43,11 +43,11 @@
 
     /// Closes the requests for `target`, which was heard, and returns who
     /// asked.
-    pub(crate) fn heard(&mut self, target: &Process, now: Instant) -> Vec<Process> {
+    pub(crate) fn close(&mut self, target: &Process, now: Instant) -> Vec<Process> {
         let found = self.open.extract_if(.., |relay| relay.target == *target);
         found
             .filter(|relay| now.saturating_duration_since(relay.since) < OPEN)
-            .map(|relay| relay.asker)
+            .map(|relay| relay.requester)
             .collect()
     }
 }
--- a/crates/spread/src/report.rs
+++ b/crates/spread/src/report.rs
@@ -10,10 +10,10 @@
 /// What a set of processes is proved to hold.
 #[message]
 #[derive(Eq, Copy)]
-pub struct Evidence {
+pub struct Acknowledgement {
     /// The set, with the incarnation of each process.
     #[serde(rename = "f")]
-    pub lives: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// A revision that each of them holds.
     #[serde(rename = "h")]
     pub held: Sequence,
@@ -22,10 +22,10 @@
     pub age_ms: u64,
 }
 
-impl Evidence {
+impl Acknowledgement {
     /// Joins `other`, which was asked for `elapsed` ago.
-    pub(crate) fn join(&mut self, other: &Self, elapsed: Duration) {
-        self.lives += other.lives;
+    pub(crate) fn merge(&mut self, other: &Self, elapsed: Duration) {
+        self.fingerprint += other.fingerprint;
         self.held = self.held.min(other.held);
         self.age_ms = self.age_ms.max(other.age_ms + millis(elapsed));
     }
@@ -65,7 +65,7 @@
 pub struct Report {
     /// What those that answer are proved to hold.
     #[serde(rename = "e")]
-    pub evidence: Evidence,
+    pub acknowledgement: Acknowledgement,
     /// How many lack the newest revision or do not answer.
     #[serde(rename = "n", default, skip_serializing_if = "is_zero")]
     pub lacking: u32,
@@ -77,8 +77,8 @@
 impl Report {
     /// Joins `other`, which was asked for `elapsed` ago, and names no more
     /// than `named` laggards.
-    pub(crate) fn join(&mut self, other: &Self, elapsed: Duration, named: usize) {
-        self.evidence.join(&other.evidence, elapsed);
+    pub(crate) fn merge(&mut self, other: &Self, elapsed: Duration, named: usize) {
+        self.acknowledgement.merge(&other.acknowledgement, elapsed);
         self.lacking += other.lacking;
         let room = named.saturating_sub(self.laggards.len());
         let more = other.laggards.iter().take(room).cloned();
@@ -86,7 +86,7 @@
     }
 
     /// Adds a laggard, named if there is room.
-    pub(crate) fn lack(&mut self, laggard: Laggard, named: usize) {
+    pub(crate) fn add_laggard(&mut self, laggard: Laggard, named: usize) {
         self.lacking += 1;
         if self.laggards.len() < named {
             self.laggards.push(laggard);
--- a/crates/spread/src/standing.rs
+++ b/crates/spread/src/standing.rs
@@ -25,7 +25,7 @@
 /// How far a process has come in learning the newest revision.
 #[record]
 #[derive(Copy)]
-pub(crate) struct Entrance {
+pub(crate) struct Join {
     /// Only answers to questions asked from then on count.
     pub(crate) from: Instant,
     /// The version of the own record after whose writing the settings were
@@ -34,18 +34,18 @@
     /// The own record's version when the settings were last asked for.
     pub(crate) asked_after: Option<Version>,
     /// Whether the process has caught up since it last entered.
-    pub(crate) open: bool,
+    pub(crate) complete: bool,
     /// Whether the process has caught up at least once in this life.
     pub(crate) caught_up: bool,
 }
 
-impl Entrance {
+impl Join {
     pub(crate) const fn new(from: Instant) -> Self {
         Self {
             from,
             read: None,
             asked_after: None,
-            open: false,
+            complete: false,
             caught_up: false,
         }
     }
@@ -55,11 +55,11 @@
         self.from = from;
         self.read = None;
         self.asked_after = None;
-        self.open = false;
+        self.complete = false;
     }
 
-    pub(crate) const fn pass(&mut self) {
-        self.open = true;
+    pub(crate) const fn finish(&mut self) {
+        self.complete = true;
         self.caught_up = true;
     }
 }
--- a/crates/spread/src/structure.rs
+++ b/crates/spread/src/topology.rs
@@ -14,20 +14,20 @@
 /// Nodes whose views differ for a while compute different trees; what that
 /// leaves out is repaired by exchanges with the contacts.
 #[derive(Debug, Default)]
-pub(crate) struct Structure {
+pub(crate) struct Topology {
     /// The node's rank among those that live, if it is on the roster.
     pub(crate) rank: Option<usize>,
     pub(crate) parent: Option<Process>,
     pub(crate) children: Vec<Process>,
     /// The dead that follow the node in rank, whom it reports as lacking.
-    pub(crate) adopted: Vec<Process>,
+    pub(crate) dead_successors: Vec<Process>,
     /// The first two by rank of each other data centre, for the head.
     pub(crate) heads: Vec<(DataCentre, Vec<Process>)>,
     /// Random peers.
     pub(crate) contacts: Vec<Process>,
 }
 
-impl Structure {
+impl Topology {
     /// Computes whom `own` talks to. Contacts are kept as long as they live.
     pub(crate) fn compute<R: Rng>(
         own: &Record,
@@ -46,22 +46,22 @@
             .filter(|process| !dead(process))
             .collect();
         let rank = living.iter().position(|process| **process == own.process);
-        let mut structure = Self {
+        let mut topology = Self {
             rank,
             ..Self::default()
         };
         if let Some(rank) = rank {
-            structure.place(rank, &living, options.fan_out.max(1));
-            structure.adopted = adopted(&order, &own.process, rank == 0, dead);
+            topology.place(rank, &living, options.fan_out.max(1));
+            topology.dead_successors = dead_successors(&order, &own.process, rank == 0, dead);
         }
         if rank == Some(0) {
-            structure.heads = heads(roster, liveness, own);
+            topology.heads = heads(roster, liveness, own);
         }
         let alive = |process: &Process| roster.get(process).is_some() && !dead(process);
         let kept = before.contacts.iter().filter(|process| alive(process));
-        structure.contacts = kept.cloned().collect();
-        structure.fill(own, roster, &living, options, rng);
-        structure
+        topology.contacts = kept.cloned().collect();
+        topology.draw_contacts(own, roster, &living, options, rng);
+        topology
     }
 
     /// Tells whether the node is the head of its data centre.
@@ -87,7 +87,7 @@
         self.children = (first..first + fan_out).filter_map(name).collect();
     }
 
-    fn fill<R: Rng>(
+    fn draw_contacts<R: Rng>(
         &mut self,
         own: &Record,
         roster: &Roster,
@@ -118,7 +118,7 @@
 
 /// Returns the dead that follow `own` in rank up to the next that lives, and
 /// for the head those before it too.
-fn adopted(
+fn dead_successors(
     order: &[&Record],
     own: &Process,
     head: bool,
--- a/crates/spread/src/watch.rs
+++ b/crates/spread/src/watch.rs
@@ -10,7 +10,7 @@
 use crate::command::{Call, Command, Ticket};
 
 /// The shortest time between two calls of the same purpose.
-const PACE: Duration = Duration::from_millis(250);
+const CALL_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What a call is for. At most one call is open for each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
@@ -31,14 +31,14 @@
 
 /// What has to be read at once, since a watch or a peer told of it.
 #[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct Doubts {
+pub(crate) struct Stale {
     /// Revisions in between are missing, so that only a snapshot leads on.
     pub(crate) settings: bool,
     /// The roster has changed.
     pub(crate) members: bool,
     /// When to read, since peers hold more for long and could not bring this
     /// process up to date.
-    pub(crate) late: Option<Instant>,
+    pub(crate) fallback_at: Option<Instant>,
 }
 
 /// The calls to the platform that a node has open, with their pauses.
@@ -75,7 +75,7 @@
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
         self.open.insert(ticket, purpose);
-        self.paced.insert(purpose, now + PACE);
+        self.paced.insert(purpose, now + CALL_INTERVAL);
         Command::Call { ticket, call }
     }
 
--- a/crates/spread/tests/common/bench.rs
+++ b/crates/spread/tests/common/bench.rs
@@ -10,8 +10,8 @@
 use cactusnotch_member::{Delta, Fingerprint, Record, Role, Row, State};
 use cactusnotch_objects::object::Version;
 use cactusnotch_spread::{
-    Answer, Call, Command, Evidence, Message, Node, Options, Pong, Report, Span, Standing, Summary,
-    Ticket,
+    Acknowledgement, Answer, Call, Command, Message, Node, Options, Pong, Report, Span, Standing,
+    Summary, Ticket,
 };
 
 pub fn record(name: &str, role: Role, incarnation: u64) -> Record {
@@ -159,9 +159,9 @@
 
     /// The agent acknowledges revision one, as asked by `stamp`.
     pub fn acknowledge(&mut self, stamp: u64, incarnation: u64) {
-        let lives = Fingerprint::of(&"agent".into(), Incarnation(incarnation));
-        let evidence = Evidence {
-            lives,
+        let fingerprint = Fingerprint::of(&"agent".into(), Incarnation(incarnation));
+        let acknowledgement = Acknowledgement {
+            fingerprint,
             held: Sequence(1),
             age_ms: 0,
         };
@@ -175,7 +175,7 @@
                 rumours: Vec::new(),
             },
             report: Some(Report {
-                evidence,
+                acknowledgement,
                 lacking: 0,
                 laggards: Vec::new(),
             }),
--- a/crates/spread/tests/common/due.rs
+++ b/crates/spread/tests/common/due.rs
@@ -17,7 +17,7 @@
     pub at: Micros,
     pub order: u64,
     pub to: usize,
-    pub life: u64,
+    pub instance: u64,
     pub event: Event,
 }
 
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -64,7 +64,7 @@
 pub struct Slot {
     pub record: Record,
     pub node: Option<Node>,
-    pub life: u64,
+    pub instance: u64,
     pub paused_until: Micros,
     pub applied: Vec<Span>,
     pub applied_at: Vec<(Sequence, Micros)>,
@@ -98,7 +98,7 @@
         Message::Span(_) => "span",
         Message::Delta(_) => "delta",
         Message::Fetch(_) => "fetch",
-        Message::Relay(_) | Message::Heard(_) => "relay",
+        Message::Relay(_) | Message::Reached(_) => "relay",
     }
 }
 
@@ -109,7 +109,7 @@
         let slots = (0..count).map(|at| Slot {
             record: record(shape, at),
             node: None,
-            life: 0,
+            instance: 0,
             paused_until: 0,
             applied: Vec::new(),
             applied_at: Vec::new(),
@@ -167,7 +167,7 @@
         let slot = &mut self.slots[at];
         let mut record = slot.record.clone();
         record.incarnation = Incarnation(wall);
-        slot.life += 1;
+        slot.instance += 1;
         slot.paused_until = 0;
         slot.applied.clear();
         slot.applied_at.clear();
@@ -183,17 +183,17 @@
 
     pub fn stop(&mut self, at: usize) {
         self.slots[at].node = None;
-        self.slots[at].life += 1;
+        self.slots[at].instance += 1;
     }
 
     fn schedule(&mut self, at: Micros, to: usize, event: Event) {
         self.order += 1;
-        let (order, life) = (self.order, self.slots[to].life);
+        let (order, instance) = (self.order, self.slots[to].instance);
         self.queue.push(Reverse(Due {
             at,
             order,
             to,
-            life,
+            instance,
             event,
         }));
     }
@@ -236,12 +236,12 @@
     fn handle(&mut self, due: Due) {
         let to = due.to;
         if let Event::Call(ticket, call) = due.event {
-            self.arrive(to, due.life, ticket, &call);
+            self.arrive(to, due.instance, ticket, &call);
             return;
         }
         let slot = &self.slots[to];
         let fresh = !matches!(due.event, Event::Message(..));
-        if slot.node.is_none() || (fresh && due.life != slot.life) {
+        if slot.node.is_none() || (fresh && due.instance != slot.instance) {
             return;
         }
         if slot.paused_until > self.now {
@@ -352,29 +352,35 @@
         self.rng.random_range(base) + extra
     }
 
-    fn arrive(&mut self, at: usize, life: u64, ticket: Ticket, call: &cactusnotch_spread::Call) {
-        let answered = self.platform.call(self.now, at, life, ticket, call);
+    fn arrive(
+        &mut self,
+        at: usize,
+        instance: u64,
+        ticket: Ticket,
+        call: &cactusnotch_spread::Call,
+    ) {
+        let answered = self.platform.call(self.now, at, instance, ticket, call);
         self.wake();
         if let Some(answer) = answered {
-            self.reply(at, life, ticket, answer);
+            self.reply(at, instance, ticket, answer);
         }
     }
 
     /// Answers the watches that have something to tell or have waited enough.
     fn wake(&mut self) {
-        for (at, life, ticket, answer) in self.platform.woken(self.now, &mut self.rng) {
-            self.reply(at, life, ticket, answer);
+        for (at, instance, ticket, answer) in self.platform.woken(self.now, &mut self.rng) {
+            self.reply(at, instance, ticket, answer);
         }
     }
 
-    fn reply(&mut self, at: usize, life: u64, ticket: Ticket, answer: Answer) {
+    fn reply(&mut self, at: usize, instance: u64, ticket: Ticket, answer: Answer) {
         let lost = answer == Answer::Unanswered || self.rng.random_bool(self.platform.forgets);
         let (delay, answer) = if lost {
             (TIMEOUT, Answer::Unanswered)
         } else {
             (self.rng.random_range(500..2_000), answer)
         };
-        if self.slots[at].life == life {
+        if self.slots[at].instance == instance {
             self.schedule(self.now + delay, at, Event::Answer(ticket, answer));
         }
     }
--- a/crates/spread/tests/common/platform.rs
+++ b/crates/spread/tests/common/platform.rs
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 struct Waiting {
     at: usize,
-    life: u64,
+    instance: u64,
     ticket: Ticket,
     call: Call,
     until: Micros,
@@ -92,7 +92,7 @@
         &mut self,
         now: Micros,
         at: usize,
-        life: u64,
+        instance: u64,
         ticket: Ticket,
         call: &Call,
     ) -> Option<Answer> {
@@ -108,7 +108,7 @@
                 let until = now + u64::try_from(wait.as_micros()).expect("a short wait");
                 self.waiting.push(Waiting {
                     at,
-                    life,
+                    instance,
                     ticket,
                     call: call.clone(),
                     until,
@@ -207,7 +207,7 @@
                 } else {
                     answer
                 };
-                woken.push((waiting.at, waiting.life, waiting.ticket, answer));
+                woken.push((waiting.at, waiting.instance, waiting.ticket, answer));
             } else {
                 self.waiting.push(waiting);
             }
--- a/crates/spread/tests/convergence.rs
+++ b/crates/spread/tests/convergence.rs
@@ -20,14 +20,14 @@
 #[derive(Default)]
 struct Checks {
     proved: Sequence,
-    lives: Vec<(u64, Sequence)>,
+    last_held: Vec<(u64, Sequence)>,
 }
 
 impl Checks {
     fn new() -> Self {
         Self {
             proved: Sequence(0),
-            lives: vec![(0, Sequence(0)); SHAPE.entries + SHAPE.agents],
+            last_held: vec![(0, Sequence(0)); SHAPE.entries + SHAPE.agents],
         }
     }
 
@@ -40,10 +40,13 @@
         }
         for (at, slot) in world.slots.iter().enumerate() {
             let Some(node) = &slot.node else { continue };
-            let (life, before) = self.lives[at];
+            let (instance, before) = self.last_held[at];
             let held = node.held();
-            prop_assert!(life != slot.life || held >= before, "{at} went back");
-            self.lives[at] = (slot.life, held);
+            prop_assert!(
+                instance != slot.instance || held >= before,
+                "{at} went back"
+            );
+            self.last_held[at] = (slot.instance, held);
             let order = slot.applied.iter().map(|span| span.through);
             prop_assert!(
                 order.is_sorted_by(|a, b| a < b),
--- a/crates/spread/tests/scenarios.rs
+++ b/crates/spread/tests/scenarios.rs
@@ -133,7 +133,7 @@
 fn a_process_restarted_while_the_platform_is_down_takes_the_newest_from_peers() {
     // The roster and the revisions are too large to be sent unasked.
     let mut world = settled_with(Options {
-        unasked: 100,
+        push_max: 100,
         ..Options::default()
     });
     world.platform.down = true;
@@ -202,7 +202,7 @@
     let second = world.slots[2].node.replace(first).expect("it is up");
     let incarnation = second.record().incarnation;
     assert!(incarnation > node(&world, 2).record().incarnation);
-    world.slots[2].life += 1;
+    world.slots[2].instance += 1;
     world.resume(2);
     run(&mut world, 20);
     assert_eq!(standing(&world, 2), Standing::Superseded);
@@ -214,7 +214,11 @@
     let watching: Vec<usize> = (0..24).filter(|at| node(&world, *at).watches()).collect();
     assert_eq!(watching.len(), 8, "two in each data centre");
     for at in &watching {
-        world.slots[*at].node.as_mut().expect("it is up").deregister();
+        world.slots[*at]
+            .node
+            .as_mut()
+            .expect("it is up")
+            .deregister();
     }
     run(&mut world, 5);
     assert_eq!(world.platform.members.len(), 16);
