--- a/crates/declaration/src/apply.rs
+++ b/crates/declaration/src/apply.rs
@@ -12,21 +12,20 @@
     /// The newest revision could not be read.
     #[display("{_0}")]
     Behind(reader::Error),
-    /// A node has another kind than declared.
+    /// The kind of a node differs from the declared one.
     #[display("{_0}")]
     Kind(Mismatch),
 }
 
 /// Compares `declaration` with the newest revision and submits the difference
-/// as one edit, which is accepted as a whole or not at all. Returns nothing if
-/// nothing has to change.
+/// as one atomic edit. Returns `None` if there is no difference.
 ///
-/// After [`Verdict::Unknown`] the call is repeated: if the edit was accepted
-/// nothing has to change any more.
+/// After [`Verdict::Unknown`] the call can be repeated: if the edit was accepted,
+/// there is no difference any more.
 ///
 /// # Errors
 ///
-/// [`Error`] if nothing was submitted.
+/// [`Error`] if no edit was submitted.
 pub fn apply<S: Store>(
     writer: &mut Writer<S>,
     declaration: &Declaration,
--- a/crates/declaration/src/declaration.rs
+++ b/crates/declaration/src/declaration.rs
@@ -1,4 +1,4 @@
-//! Declarations that have been checked.
+//! Validated declarations.
 
 use cactusnotch_base::Table;
 use cactusnotch_derive::record;
@@ -7,31 +7,31 @@
 use crate::parse::parse;
 use crate::{Fault, Faults, Place, Source};
 
-/// A node as declared, with the places that messages name.
+/// A declared node, with the source positions for error messages.
 #[record]
 pub struct Declared {
     /// The node.
     pub node: Node,
-    /// Where it is declared.
+    /// The position of its declaration.
     pub place: Place,
-    /// Where each of its values is declared.
+    /// The position of each of its values.
     pub values: Table<Key, Place>,
 }
 
-/// A declaration that breaks no rule on its own.
+/// A declaration that violates no rule by itself.
 #[record]
 pub struct Declaration {
     nodes: Table<Id, Declared>,
 }
 
 impl Declaration {
-    /// Reads the declaration out of its files and checks it, without a
-    /// connection.
+    /// Parses the declaration from its files and validates it, without a
+    /// connection to the platform.
     ///
     /// # Errors
     ///
-    /// All faults of form; if there are none, all rules of the tree that are
-    /// broken.
+    /// All errors of syntax and structure; if there are none, all violated rules
+    /// of the tree.
     pub fn check(sources: &[Source]) -> Result<Self, Faults> {
         let nodes = parse(sources)?;
         let declaration = Self { nodes };
--- a/crates/declaration/src/difference.rs
+++ b/crates/declaration/src/difference.rs
@@ -1,4 +1,4 @@
-//! What has to change for a tree to be as declared.
+//! The changes that make a tree match a declaration.
 
 use std::cmp::Reverse;
 use std::fmt;
@@ -14,12 +14,13 @@
 /// How a declaration is compared with a tree.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub struct Options {
-    /// Whether nodes that are not declared are deleted. Otherwise they are
-    /// left alone. What a declared node overrides is always as declared.
+    /// Whether nodes that are not declared are deleted; otherwise they are left
+    /// unchanged. The overrides of a declared node always match the declaration.
     pub prune: bool,
 }
 
-/// A node that cannot be made as declared, since a node keeps its kind.
+/// A node that cannot be changed to match its declaration, since the kind of a
+/// node is fixed.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display(
     "node {node} is declared as {declared} and exists as {found}: delete it first, or declare \
@@ -40,12 +41,12 @@
 pub struct Change {
     /// The operation.
     pub operation: Operation,
-    /// The value that the node overrides so far.
+    /// The previous value of the override.
     pub before: Option<Value>,
 }
 
-/// What has to change for a tree to be as declared, in an order that can be
-/// carried out. It shows as text and serializes for machines.
+/// The changes that make a tree match a declaration, in an order in which they
+/// can be applied. It is displayed as text and serializes for programs.
 #[record]
 #[derive(Default, Serialize)]
 #[serde(transparent)]
@@ -59,7 +60,7 @@
     ///
     /// # Errors
     ///
-    /// [`Mismatch`] for a node of another kind than declared.
+    /// [`Mismatch`] for a node whose kind differs from the declared one.
     pub fn new(
         tree: &Tree,
         declaration: &Declaration,
@@ -80,7 +81,7 @@
         Ok(difference)
     }
 
-    /// Returns the difference as one edit; none if nothing has to change.
+    /// Returns the difference as one edit, or `None` if there is no difference.
     #[must_use]
     pub fn edit(&self, author: &str, reason: &str, base: Revision) -> Option<Edit> {
         let operations: Vec<_> = self.changes.iter().map(|c| c.operation.clone()).collect();
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Deletes what is not declared, the lowest nodes first.
+    /// Deletes the nodes that are not declared, the deepest first.
     fn delete(&mut self, tree: &Tree, declaration: &Declaration) {
         let root = Id::root();
         if declaration.node(&root).is_none() {
--- a/crates/declaration/src/fault.rs
+++ b/crates/declaration/src/fault.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a declaration, and where.
+//! Errors of a declaration, with their positions.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 use derive_more::{Display, Error};
 use serde::Serialize;
 
-/// A place in a declaration.
+/// A position in a declaration.
 #[record]
 #[derive(Serialize, Display)]
 #[display("{file}:{line}")]
@@ -17,26 +17,26 @@
     pub line: usize,
 }
 
-/// A rule that a declaration breaks.
+/// A violation of a rule by a declaration.
 #[record]
 #[derive(Serialize, Display)]
 #[display("{place}: {rule}: {message}")]
 pub struct Fault {
-    /// Where.
+    /// The position.
     #[serde(flatten)]
     pub place: Place,
     /// The name of the rule.
     pub rule: &'static str,
-    /// What is wrong.
+    /// The error message.
     pub message: String,
 }
 
-/// All rules that a declaration breaks, one a line.
+/// All violations of rules by a declaration, displayed one per line.
 #[record]
 #[derive(Serialize, Error)]
 #[serde(transparent)]
 pub struct Faults {
-    /// The rules, in the order of files and lines.
+    /// The violations, in the order of files and lines.
     #[error(not(source))]
     pub faults: Vec<Fault>,
 }
--- a/crates/declaration/src/lib.rs
+++ b/crates/declaration/src/lib.rs
@@ -1,8 +1,8 @@
-//! Declarations of the settings tree, to be kept in version control.
+//! Declarations of the settings tree, intended for version control.
 //!
 //! A declaration is one TOML file or a directory of them. [`Declaration`]
-//! checks it without a connection, [`Difference`] compares it with a tree, and
-//! [`apply`] submits the difference as one edit. [`source::read`] alone reads
+//! validates it without a connection, [`Difference`] compares it with a tree,
+//! and [`apply`] submits the difference as one edit. Only [`source::read`] reads
 //! files.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
--- a/crates/declaration/src/parse.rs
+++ b/crates/declaration/src/parse.rs
@@ -1,4 +1,4 @@
-//! Reading declarations out of TOML.
+//! Parsing of declarations in TOML.
 
 use std::ops::Range;
 
@@ -13,22 +13,22 @@
 const NODES: &str = "nodes";
 const NODE_FIELDS: &str = "kind, parent, name and values";
 
-/// Reads the nodes out of all files.
+/// Parses the nodes of all files.
 ///
 /// # Errors
 ///
-/// All faults of form, in the order of files and lines.
+/// All errors of syntax and structure, in the order of files and lines.
 pub(crate) fn parse(sources: &[Source]) -> Result<Table<Id, Declared>, Faults> {
     let mut nodes = Table::new();
     let mut faults = Vec::new();
     for source in sources {
-        let mut file = File {
+        let mut parser = Parser {
             source,
             nodes: &mut nodes,
             faults: Vec::new(),
         };
-        file.read();
-        let mut found = file.faults;
+        parser.read();
+        let mut found = parser.faults;
         found.sort_by_key(|fault| fault.place.line);
         faults.extend(found);
     }
@@ -38,14 +38,14 @@
     Err(Faults { faults })
 }
 
-/// The reading of one file.
-struct File<'a> {
+/// The parser of one file.
+struct Parser<'a> {
     source: &'a Source,
     nodes: &'a mut Table<Id, Declared>,
     faults: Vec<Fault>,
 }
 
-impl File<'_> {
+impl Parser<'_> {
     fn read(&mut self) {
         let table = match DeTable::parse(&self.source.text) {
             Ok(table) => table.into_inner(),
@@ -109,7 +109,7 @@
         self.place_node(id, span, kind, declared);
     }
 
-    /// Completes the node and puts it into the table.
+    /// Completes the node and inserts it into the table.
     fn place_node(&mut self, id: Id, span: Range<usize>, kind: Option<Kind>, mut new: Declared) {
         if id == Id::root() {
             new.node.kind = Kind::Root;
--- a/crates/declaration/src/render.rs
+++ b/crates/declaration/src/render.rs
@@ -1,14 +1,13 @@
-//! Writing a tree down as a declaration.
+//! Rendering of a tree as a declaration.
 
 use cactusnotch_settings::{Id, Node, Tree};
 use toml::Table;
 
-/// Returns the declaration of `tree` as TOML: reading it back gives the same
-/// tree.
+/// Returns the declaration of `tree` as TOML. Parsing it yields the same tree.
 ///
 /// # Panics
 ///
-/// Never: what a tree holds can be written as TOML.
+/// Never: every valid tree can be written as TOML.
 #[must_use]
 pub fn toml(tree: &Tree) -> String {
     let nodes: Table = tree
--- a/crates/declaration/src/source.rs
+++ b/crates/declaration/src/source.rs
@@ -1,12 +1,12 @@
-//! The text of declarations.
+//! Source files of declarations.
 
 use std::path::Path;
 use std::{fs, io};
 
 use cactusnotch_derive::record;
 
-/// The ending of the files that are read from a directory.
-const ENDING: &str = "toml";
+/// The extension of the files that are read from a directory.
+const EXTENSION: &str = "toml";
 
 /// The text of one file.
 #[record]
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// As the file system reports them.
+/// Any error of the file system.
 pub fn read(path: &Path) -> io::Result<Vec<Source>> {
     if !path.is_dir() {
         return Ok(vec![read_file(path)?]);
@@ -30,7 +30,10 @@
     let mut files = Vec::new();
     for entry in fs::read_dir(path)? {
         let file = entry?.path();
-        if file.extension().is_some_and(|ending| ending == ENDING) {
+        if file
+            .extension()
+            .is_some_and(|extension| extension == EXTENSION)
+        {
             files.push(file);
         }
     }
--- a/crates/declaration/tests/declaration.rs
+++ b/crates/declaration/tests/declaration.rs
@@ -1,4 +1,4 @@
-//! Checking, comparing and applying declarations.
+//! Validation, comparison and application of declarations.
 
 #[path = "../../history/tests/support/mod.rs"]
 mod support;
@@ -152,7 +152,7 @@
         .edit("ci", "declared", Revision(1))
         .expect("there is a change");
 
-    // Another operator is faster, and the plan's base is too old.
+    // Another operator submits first, so the base of the plan is outdated.
     let faster = edit(
         "maite",
         Revision(1),
@@ -169,7 +169,7 @@
     assert_eq!(other.author, "maite");
     assert_eq!(store.count("revision"), 2);
 
-    // A reply that is lost leaves no half-applied declaration behind.
+    // A lost reply leaves no partially applied declaration.
     store.fail_next(Fault::Before);
     assert!(apply(&mut ci, &declaration, &PRUNE, "ci", "declared").is_err());
     let mut again = || apply(&mut ci, &declaration, &PRUNE, "ci", "declared");
@@ -187,7 +187,7 @@
     assert!(Difference::new(&tree, &declaration, &PRUNE).is_err());
 }
 
-/// Returns a tree that came about by random edits.
+/// Returns a tree built by random edits.
 fn random_tree(seed: u64) -> Tree {
     let mut rng = seeded(seed);
     let mut tree = apply_edit(&Tree::new(), &layout()).expect("the layout is valid");
--- a/crates/member/src/backoff.rs
+++ b/crates/member/src/backoff.rs
@@ -1,14 +1,15 @@
-//! Pauses between failed calls.
+//! Back-off between failed calls.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 use rand::Rng;
 
-/// Doublings after which the pause is at its longest in any setting.
+/// The number of doublings after which the pause no longer grows; it bounds the
+/// shift.
 const DOUBLINGS: u32 = 16;
 
-/// Pauses that double with each failure, with jitter.
+/// Exponential back-off with jitter.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     min: Duration,
@@ -18,7 +19,7 @@
 }
 
 impl Backoff {
-    /// Creates pauses from `min` to `max`.
+    /// Creates a back-off with pauses from `min` to `max`.
     #[must_use]
     pub const fn new(min: Duration, max: Duration) -> Self {
         Self {
@@ -29,7 +30,7 @@
         }
     }
 
-    /// Tells whether a call may be made at `now`.
+    /// Returns whether a call may be made at `now`.
     #[must_use]
     pub fn ready(&self, now: Instant) -> bool {
         self.until.is_none_or(|until| now >= until)
@@ -41,14 +42,14 @@
         self.failures
     }
 
-    /// Notes a success: the next call may be made at once.
+    /// Records a success; the next call may be made at once.
     pub const fn succeed(&mut self) {
         self.failures = 0;
         self.until = None;
     }
 
-    /// Notes a failure at `now` and draws the pause: between half of the
-    /// ceiling and the ceiling, so that many callers do not meet.
+    /// Records a failure at `now` and draws the pause between half of the ceiling
+    /// and the ceiling. The jitter spreads the calls of many processes.
     pub fn fail<R: Rng>(&mut self, now: Instant, rng: &mut R) {
         let doublings = self.failures.min(DOUBLINGS);
         let ceiling = self.min.saturating_mul(1 << doublings).min(self.max);
@@ -56,7 +57,8 @@
         self.until = Some(now + ceiling.mul_f64(rng.random_range(0.5..1.0)));
     }
 
-    /// Holds the next call back by up to `spread`, as at a start.
+    /// Delays the next call by a random time of up to `spread`, for example at a
+    /// start.
     pub fn delay<R: Rng>(&mut self, now: Instant, spread: Duration, rng: &mut R) {
         self.until = Some(now + spread.mul_f64(rng.random()));
     }
--- a/crates/member/src/delta.rs
+++ b/crates/member/src/delta.rs
@@ -10,7 +10,7 @@
 use crate::record::Record;
 use crate::roster::Row;
 
-/// An object of kind `member` that is none.
+/// An object of kind `member` that cannot be decoded.
 #[derive(Debug, Display, Error)]
 #[display("reading member {name} from the platform: {source}")]
 pub struct Error {
@@ -20,14 +20,14 @@
     pub source: serde_json::Error,
 }
 
-/// What changed in the roster after one version up to another.
+/// The changes of the roster after one version up to another.
 ///
-/// It may be applied to any roster that stands at or after
-/// [`Delta::after`]; with `after` zero it is the whole roster.
+/// It may be applied to any roster whose version is at least
+/// [`Delta::after`]; with `after` zero it contains the whole roster.
 #[message]
 #[derive(Default)]
 pub struct Delta {
-    /// The version from which on the delta is complete.
+    /// The version after which the delta is complete.
     #[serde(rename = "a")]
     pub after: Version,
     /// The version up to which the delta is complete.
@@ -42,8 +42,8 @@
 }
 
 impl Delta {
-    /// Reads the platform's changes after `after`. Objects that are no member
-    /// are left out and returned beside the delta.
+    /// Decodes the platform's changes after `after`. Objects that cannot be
+    /// decoded are omitted and reported as errors.
     #[must_use]
     pub fn from_changes(after: Version, changes: Changes) -> (Self, Vec<Error>) {
         let mut rows = Vec::new();
@@ -64,9 +64,10 @@
         (delta, errors)
     }
 
-    /// Returns the delta with the earliest end that it can have: the version
-    /// of its last write, so that readers of the same change agree on it. A
-    /// removal has no version of its own, and the end of the read stands.
+    /// Returns the delta with [`Delta::through`] lowered to the version of its last
+    /// write, which is the same for all readers of the same change. A removal has
+    /// no version of its own, so a delta with removals keeps the version of the
+    /// read.
     #[must_use]
     pub fn trimmed(mut self) -> Self {
         let last = self.rows.iter().map(|row| row.version).max();
@@ -76,7 +77,7 @@
         self
     }
 
-    /// Tells whether nothing changed.
+    /// Returns whether nothing changed.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.rows.is_empty() && self.removed.is_empty()
--- a/crates/member/src/fingerprint.rs
+++ b/crates/member/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! A short digest of a set of lives.
+//! A short digest of a set of processes.
 
 use std::ops::{AddAssign, SubAssign};
 
@@ -9,8 +9,8 @@
 
 /// A digest of a set of processes with their incarnations.
 ///
-/// Two sets have the same fingerprint only if they are the same, but for a
-/// chance of 2⁻⁶⁴; a process counted twice or left out shows.
+/// Two different sets have the same fingerprint with probability 2⁻⁶⁴. A process
+/// that is counted twice or left out changes the fingerprint.
 #[number]
 pub struct Fingerprint {
     #[serde(rename = "n")]
@@ -20,7 +20,7 @@
 }
 
 impl Fingerprint {
-    /// Returns the fingerprint of one life.
+    /// Returns the fingerprint of one incarnation of a process.
     #[must_use]
     pub fn of(process: &Process, incarnation: Incarnation) -> Self {
         Self {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Returns the number of lives.
+    /// Returns the number of processes.
     #[must_use]
     pub const fn count(self) -> u32 {
         self.count
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,10 +1,11 @@
 //! The roster of cactusnotch's processes, their liveness and ranks.
 //!
-//! The [`Roster`] says who is a member; its record of truth is the platform,
-//! one object a process. [`Liveness`] says who can be reached; it chooses
-//! whom to talk to and never moves a right to act, which only a lease does.
-//! [`Registration`] keeps a process's own record. Nothing here does I/O.
-//! `docs/design/membership.md` weighs the ways.
+//! The [`Roster`] lists the members. Its authoritative copy is in the platform,
+//! one object per process. [`Liveness`] tracks which processes are reachable; it
+//! selects communication partners and never transfers exclusive rights, which
+//! only leases grant. [`Registration`] maintains a process's own record. This
+//! crate performs no I/O. `docs/design/membership.md` compares the
+//! alternatives.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/member/src/liveness.rs
+++ b/crates/member/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Who can be reached.
+//! Reachability of processes.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::Instant;
@@ -11,29 +11,31 @@
 use crate::roster::{Roster, Row};
 use crate::rumour::{Instance, Rumour, Status};
 
-/// How many rumours ride on one message.
+/// The maximum number of rumours in one message, besides those about its
+/// receiver.
 const RUMOURS_PER_MESSAGE: usize = 4;
 
-/// How many messages carry a rumour, beyond two for each doubling of members.
+/// How many messages carry a rumour, in addition to two for each doubling of the
+/// number of members.
 const TRANSMISSIONS_MIN: u32 = 6;
 
-/// What is known of a process that was ever suspected or restarted.
+/// The state of a process that was suspected or restarted.
 #[record]
 #[derive(Copy)]
 pub struct Health {
-    /// The latest life that is known.
+    /// The latest known instance.
     pub instance: Instance,
     /// Whether the process can be reached.
     pub status: Status,
-    /// Since when the status stands, on this process's clock.
+    /// When the status was set, on this process's clock.
     pub since: Instant,
     transmissions: u32,
 }
 
-/// Who can be reached, as this process and its peers see it.
+/// The reachability of processes as observed by this process and its peers.
 ///
-/// It chooses whom to talk to. It never moves a right to act, and it takes
-/// nobody off the roster by itself.
+/// It selects communication partners. It never transfers exclusive rights, and
+/// removes no process from the roster by itself.
 #[derive(Debug)]
 pub struct Liveness {
     options: Options,
@@ -47,7 +49,7 @@
 }
 
 impl Liveness {
-    /// Creates the view of process `own`, to whom everybody is alive.
+    /// Creates the view of process `own`, in which all processes are alive.
     #[must_use]
     pub fn new(options: Options, own: Process, incarnation: Incarnation) -> Self {
         let instance = initial(incarnation);
@@ -63,14 +65,14 @@
         }
     }
 
-    /// Returns the process's own life.
+    /// Returns the process's own instance.
     #[must_use]
     pub const fn instance(&self) -> Instance {
         self.instance
     }
 
-    /// Takes a larger incarnation, as found when a record was written, and
-    /// lets it be told.
+    /// Sets a larger incarnation, as determined when the record was written, and
+    /// announces it.
     pub fn set_incarnation(&mut self, incarnation: Incarnation, now: Instant) {
         if incarnation > self.instance.incarnation {
             self.instance = initial(incarnation);
@@ -81,21 +83,20 @@
         self.announce(now);
     }
 
-    /// Lets the process's own life be told.
+    /// Schedules a rumour that this process is alive.
     pub fn announce(&mut self, now: Instant) {
         let own = self.own.clone();
         self.set(own, self.instance, Status::Alive, now);
     }
 
-    /// Returns the incarnation of a later life of the same name, if one is
-    /// known.
+    /// Returns the later incarnation of the same name, if one is known.
     #[must_use]
     pub const fn later_incarnation(&self) -> Option<Incarnation> {
         self.later
     }
 
-    /// Returns a number that grows whenever a process starts or stops to
-    /// count as dead.
+    /// Returns a number that increases whenever a process starts or stops
+    /// counting as dead.
     #[must_use]
     pub const fn generation(&self) -> u64 {
         self.generation
@@ -108,7 +109,7 @@
         health.map_or(Status::Alive, |health| health.status)
     }
 
-    /// Returns what is known of `process`, if it was ever suspected.
+    /// Returns the state of `process`, if it was suspected or restarted.
     #[must_use]
     pub fn health(&self, process: &Process) -> Option<&Health> {
         self.healths.get(process)
@@ -126,8 +127,8 @@
         }
     }
 
-    /// Takes in a rumour about a member of `roster`. A rumour that this
-    /// process cannot be reached is refuted.
+    /// Applies a rumour about a member of `roster`. A rumour that this process is
+    /// unreachable is refuted.
     pub fn apply(&mut self, rumour: &Rumour, roster: &Roster, now: Instant) {
         if rumour.process == self.own {
             self.apply_own(rumour, now);
@@ -141,15 +142,15 @@
             || (initial(record.incarnation), Status::Alive),
             |health| (health.instance, health.status),
         );
-        let (told, known) = ((rumour.instance, rumour.status), (instance, status));
-        if told > known {
+        let (reported, known) = ((rumour.instance, rumour.status), (instance, status));
+        if reported > known {
             self.set(rumour.process.clone(), rumour.instance, rumour.status, now);
-        } else if told < known {
+        } else if reported < known {
             self.requeue(&rumour.process);
         }
     }
 
-    /// Tells again what a peer turned out to have missed.
+    /// Schedules the rumour about `process` again, since a peer has missed it.
     fn requeue(&mut self, process: &Process) {
         let transmissions = self.transmissions;
         if let Some(health) = self.healths.get_mut(process) {
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Turns suspicions that were not refuted in time into deaths, and forgets
-    /// processes that left `roster` or are on it in a later life.
+    /// Marks suspects that did not refute in time as dead, and drops the state of
+    /// processes that left `roster` or are on it with a later incarnation.
     pub fn tick(&mut self, roster: &Roster, now: Instant) {
         let refute = self.options.refute_timeout;
         let (mut died, mut revived) = (Vec::new(), 0);
@@ -181,9 +182,9 @@
             let known = roster.get(process).map(|record| record.incarnation);
             let keep = match known {
                 Some(incarnation) => {
-                    let told = health.transmissions == 0 && health.status == Status::Alive;
-                    let plain = told && health.instance == initial(incarnation);
-                    incarnation <= health.instance.incarnation && !plain
+                    let is_sent = health.transmissions == 0 && health.status == Status::Alive;
+                    let is_default = is_sent && health.instance == initial(incarnation);
+                    incarnation <= health.instance.incarnation && !is_default
                 }
                 None => *process == self.own,
             };
@@ -213,15 +214,15 @@
         }
     }
 
-    /// Returns the rumours to send with a message to `peer`. What is known
-    /// against `peer` itself always goes along, so that it can refute; what is
-    /// known against others is repeated in turn, so that whoever knows better
-    /// can tell.
+    /// Returns the rumours to send with a message to `peer`. A suspicion of `peer`
+    /// itself is always included so that it can refute it. If nothing else is
+    /// due, suspicions of other processes are repeated in turn, so that a peer
+    /// with newer information can correct them.
     pub fn rumours(&mut self, peer: &Process) -> Vec<Rumour> {
         let mut chosen = Vec::new();
         for (process, health) in self.healths.iter_mut() {
-            let against = process == peer && health.status != Status::Alive;
-            if against || (health.transmissions > 0 && chosen.len() < RUMOURS_PER_MESSAGE) {
+            let is_accused = process == peer && health.status != Status::Alive;
+            if is_accused || (health.transmissions > 0 && chosen.len() < RUMOURS_PER_MESSAGE) {
                 health.transmissions = health.transmissions.saturating_sub(1);
                 chosen.push(rumour(process, health));
             }
@@ -235,15 +236,14 @@
     fn next_unreachable(&mut self) -> Option<Rumour> {
         self.cursor = self.cursor.wrapping_add(1);
         let rows = || self.healths.iter();
-        let against = || rows().filter(|(_, health)| health.status != Status::Alive);
-        let at = self.cursor.checked_rem(against().count())?;
-        let (process, health) = against().nth(at)?;
+        let unreachable = || rows().filter(|(_, health)| health.status != Status::Alive);
+        let at = self.cursor.checked_rem(unreachable().count())?;
+        let (process, health) = unreachable().nth(at)?;
         Some(rumour(process, health))
     }
 
-    /// Returns the members of `roster` that have counted as dead for the
-    /// expiry and that `ours` holds for; none if they are more than the part
-    /// that may expire.
+    /// Returns the members of `roster` that satisfy `ours` and have counted as dead
+    /// for the expiry time; none if they exceed the share that may expire.
     #[must_use]
     pub fn expired<'a>(
         &self,
@@ -273,7 +273,7 @@
     }
 }
 
-/// Returns the life that a record stands for.
+/// Returns the instance of a record, without refutations.
 const fn initial(incarnation: Incarnation) -> Instance {
     Instance {
         incarnation,
--- a/crates/member/src/options.rs
+++ b/crates/member/src/options.rs
@@ -1,19 +1,19 @@
-//! The times of membership.
+//! Intervals, time-outs and limits of membership.
 
 use std::time::Duration;
 
 use cactusnotch_derive::record;
 
-/// The times of membership.
+/// Intervals, time-outs and limits of membership.
 #[record]
 pub struct Options {
     /// How long a suspected process has to refute before it counts as dead.
     pub refute_timeout: Duration,
-    /// How long a process counts as dead before its data centre's watcher
-    /// takes its record off the roster; far beyond any lease.
+    /// How long a process counts as dead before the head of its data centre
+    /// removes its record from the roster; far longer than any lease.
     pub expiry: Duration,
-    /// The largest part of a data centre's records that may expire, in
-    /// percent; beyond it an operator decides.
+    /// The largest share of a data centre's records that may expire, in percent;
+    /// beyond it, an operator has to remove them.
     pub expiry_percent: usize,
     /// The pause after a first failed call; it doubles with each failure.
     pub retry_min: Duration,
--- a/crates/member/src/rank.rs
+++ b/crates/member/src/rank.rs
@@ -1,8 +1,8 @@
 //! The order of processes within a data centre.
 //!
-//! Entries come before agents, and within a role a hash of the name decides,
-//! so that neighbours in rank seldom share a rack. The order depends only on
-//! the names, so a restart in place moves nobody.
+//! Entries come before agents; within a role the order follows a hash of the
+//! name, which makes neighbours in rank unlikely to share a rack. The order
+//! depends only on roles and names, so a restart in place changes no rank.
 
 use cactusnotch_base::name::{DataCentre, Process};
 use xxhash_rust::xxh3::xxh3_64;
@@ -10,7 +10,7 @@
 use crate::record::{Record, Role};
 use crate::roster::Roster;
 
-/// What decides the rank of a record; a smaller key ranks first.
+/// Returns the sort key of a record; a smaller key ranks first.
 #[must_use]
 pub fn key(record: &Record) -> (Role, u64, &Process) {
     let name = &record.process;
--- a/crates/member/src/record.rs
+++ b/crates/member/src/record.rs
@@ -1,4 +1,4 @@
-//! A process as the roster knows it.
+//! The roster's record of a process.
 
 use std::net::SocketAddr;
 
@@ -6,41 +6,41 @@
 use cactusnotch_base::number::Incarnation;
 use cactusnotch_derive::{message, number};
 
-/// What a process does.
+/// The role of a process.
 #[number]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// It takes callers' requests.
+    /// It accepts callers' requests.
     #[default]
     Entry,
-    /// It stands beside an endpoint.
+    /// It runs beside an endpoint.
     Agent,
 }
 
-/// How far a process has come in its life.
+/// The state of a process.
 #[number]
 #[serde(rename_all = "kebab-case")]
 pub enum State {
-    /// It learns the newest settings and does not serve yet.
+    /// It obtains the newest settings and does not serve yet.
     #[default]
     Joining,
     /// It serves.
     Serving,
-    /// It finishes what runs and takes no new work.
+    /// It completes running work and accepts no new work.
     Leaving,
 }
 
-/// A process as the roster knows it, kept in an object of kind
+/// The roster's record of a process, stored in an object of kind
 /// [`Record::KIND`] under the process's name.
 ///
-/// The name stands for the place (host and role), so that a process that is
-/// restarted in place keeps its name and takes a larger incarnation.
+/// The name identifies the place (host and role), so a process that is restarted
+/// in place keeps its name and gets a larger incarnation.
 #[message]
 #[derive(Eq)]
 pub struct Record {
     /// The process.
     pub process: Process,
-    /// What the process does.
+    /// The role of the process.
     pub role: Role,
     /// The host that it runs on.
     pub host: Host,
@@ -48,21 +48,21 @@
     pub data_centre: DataCentre,
     /// The region of the data centre.
     pub region: Region,
-    /// Where other processes reach it.
+    /// The address for other processes.
     pub peers: SocketAddr,
-    /// Where callers reach it, for an entry.
+    /// The address for callers, for an entry.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub callers: Option<SocketAddr>,
-    /// The endpoint beside it, for an agent.
+    /// The endpoint that it runs beside, for an agent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub endpoint: Option<Endpoint>,
-    /// The life of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
-    /// How far the process has come in its life.
+    /// The state of the process.
     pub state: State,
 }
 
 impl Record {
-    /// The kind of the platform's objects that hold members.
+    /// The kind of the platform's objects that store members.
     pub const KIND: &'static str = "member";
 }
--- a/crates/member/src/registration.rs
+++ b/crates/member/src/registration.rs
@@ -1,4 +1,4 @@
-//! Keeping a process's own record in the platform.
+//! Maintenance of a process's own record in the platform.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::number::Incarnation;
@@ -22,19 +22,19 @@
     Delete(Version),
 }
 
-/// How a call ended.
+/// The result of a call.
 #[record]
 pub enum Answer {
-    /// A read, or a write whose condition did not hold, brought the record as
-    /// it stands.
+    /// The current record, returned by a read or by a write whose condition did
+    /// not hold.
     Found(Option<Row>),
     /// The write or the deletion took effect, at this version.
     Written(Version),
-    /// Nothing is known.
+    /// The outcome is unknown.
     Unanswered,
 }
 
-/// What the platform holds, as far as is known.
+/// What the platform is known to store.
 #[record]
 #[derive(Copy)]
 enum Stored {
@@ -44,11 +44,11 @@
     Own(Version, State),
 }
 
-/// Keeps a process's own record in the platform.
+/// Maintains a process's own record in the platform.
 ///
-/// It first reads the record of an earlier life and takes a larger
-/// incarnation; later it writes only over its own record. After a lost reply
-/// it reads back.
+/// It first reads the record of an earlier incarnation and takes a larger one.
+/// Later it only overwrites its own record. After a lost reply it reads the
+/// record back.
 #[derive(Debug)]
 pub struct Registration {
     record: Record,
@@ -75,29 +75,31 @@
         }
     }
 
-    /// Returns the record as it is wanted.
+    /// Returns the record that the platform should store.
     #[must_use]
     pub const fn record(&self) -> &Record {
         &self.record
     }
 
-    /// Returns the pauses between calls, to hold the first one back.
+    /// Returns the back-off between calls, to delay the first one.
     pub const fn backoff(&mut self) -> &mut Backoff {
         &mut self.backoff
     }
 
-    /// Wants the record to say `state`, or to be gone.
+    /// Sets the state that the record should have; `None` removes the record.
     pub fn set_target(&mut self, state: Option<State>) {
         self.target = state;
         self.record.state = state.unwrap_or(State::Leaving);
     }
 
-    /// Notes that the record may have been removed or replaced by others.
+    /// Marks the stored record as unknown, since others may have removed or
+    /// replaced it.
     pub const fn invalidate(&mut self) {
         self.stored = Stored::Unknown;
     }
 
-    /// Returns the version of the own record, if it is known to stand.
+    /// Returns the version of the process's own record, if it is known to be
+    /// stored.
     #[must_use]
     pub const fn version(&self) -> Option<Version> {
         match self.stored {
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Tells whether the platform holds what is wanted.
+    /// Returns whether the platform stores the record in its target state.
     #[must_use]
     pub fn is_current(&self) -> bool {
         match (self.target, self.stored) {
@@ -122,22 +124,22 @@
         self.backoff.failures()
     }
 
-    /// Tells whether a later life has taken the name.
+    /// Returns whether a later incarnation has registered the name.
     #[must_use]
     pub const fn superseded(&self) -> bool {
         self.superseded
     }
 
-    /// Takes an incarnation larger than `other`, a life of this name that is
-    /// known from elsewhere, unless this life was registered already.
+    /// Raises the incarnation above `other`, another known incarnation of this
+    /// name, unless this process has already written its record.
     pub fn raise_above(&mut self, other: Incarnation) {
         if !self.written && other >= self.record.incarnation {
             self.record.incarnation = other.next();
         }
     }
 
-    /// Returns the call to make at `now`. Its answer must come before the
-    /// next call is asked for.
+    /// Returns the call to make at `now`, if one is due. No further call is
+    /// returned until [`Registration::answer`] gets its answer.
     pub fn poll(&mut self, now: Instant) -> Option<Call> {
         let idle = self.is_current() || self.superseded || self.pending.is_some();
         if idle || !self.backoff.ready(now) {
@@ -160,7 +162,7 @@
         Some(Call::Put(Box::new(self.record.clone()), condition))
     }
 
-    /// Takes in the answer to the call that is open.
+    /// Handles the answer to the open call.
     pub fn answer<R: Rng>(&mut self, answer: Answer, now: Instant, rng: &mut R) {
         let Some(call) = self.pending.take() else {
             return;
--- a/crates/member/src/roster.rs
+++ b/crates/member/src/roster.rs
@@ -1,4 +1,4 @@
-//! Who is a member.
+//! The list of members.
 
 use std::sync::Arc;
 
@@ -23,7 +23,7 @@
     pub version: Version,
 }
 
-/// Who is a member, as of a version of the platform's store.
+/// The list of members as of a version of the platform's store.
 #[derive(Debug, Clone, Default)]
 pub struct Roster {
     rows: Table<Process, Row>,
@@ -33,7 +33,7 @@
 }
 
 impl Roster {
-    /// Returns the version of the last change that is known.
+    /// Returns the version of the last known change.
     #[must_use]
     pub const fn through(&self) -> Version {
         self.through
@@ -46,12 +46,12 @@
         self.confirmed.max(self.through)
     }
 
-    /// Notes that nothing changed up to `version`, as the platform said.
+    /// Records that nothing changed up to `version`, according to the platform.
     pub fn confirm(&mut self, version: Version) {
         self.confirmed = self.confirmed.max(version);
     }
 
-    /// Takes in a delta and tells whether the roster moved on. An older delta
+    /// Applies a delta and returns whether the roster advanced. An older delta
     /// changes nothing; one that starts after the roster's version is not
     /// applied, since changes in between would be missed.
     pub fn apply(&mut self, delta: &Delta) -> bool {
@@ -75,10 +75,10 @@
 
     fn insert(&mut self, row: Row) {
         let record = &row.record;
-        let lives = self
+        let fingerprint = self
             .fingerprints
             .get_or_insert_with(record.data_centre.clone(), Fingerprint::default);
-        *lives += Fingerprint::of(&record.process, record.incarnation);
+        *fingerprint += Fingerprint::of(&record.process, record.incarnation);
         self.rows.insert(record.process.clone(), row);
     }
 
@@ -86,11 +86,11 @@
         let Some(Row { record, .. }) = self.rows.remove(process) else {
             return;
         };
-        let Some(lives) = self.fingerprints.get_mut(&record.data_centre) else {
+        let Some(fingerprint) = self.fingerprints.get_mut(&record.data_centre) else {
             return;
         };
-        *lives -= Fingerprint::of(process, record.incarnation);
-        if *lives == Fingerprint::default() {
+        *fingerprint -= Fingerprint::of(process, record.incarnation);
+        if *fingerprint == Fingerprint::default() {
             self.fingerprints.remove(&record.data_centre);
         }
     }
@@ -130,7 +130,7 @@
         self.rows.len()
     }
 
-    /// Tells whether there are no members.
+    /// Returns whether there are no members.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
--- a/crates/member/src/rumour.rs
+++ b/crates/member/src/rumour.rs
@@ -1,22 +1,23 @@
-//! What processes tell one another about who can be reached.
+//! Rumours: gossiped reports about the reachability of processes.
 
 use cactusnotch_base::name::Process;
 use cactusnotch_base::number::Incarnation;
 use cactusnotch_derive::{message, number};
 
-/// A life of a process, with the number of suspicions that it has refuted.
+/// An incarnation of a process with the number of suspicions that it has refuted.
+/// A larger instance overrides a smaller one.
 #[number]
 pub struct Instance {
-    /// The life.
+    /// The incarnation.
     #[serde(rename = "i")]
     pub incarnation: Incarnation,
-    /// How many suspicions the process has refuted in this life.
+    /// The number of suspicions that the process has refuted in this incarnation.
     #[serde(rename = "r")]
     pub refuted: u32,
 }
 
 /// Whether a process can be reached. A later variant overrides an earlier one
-/// of the same life.
+/// of the same instance.
 #[number]
 pub enum Status {
     /// It answers.
@@ -26,19 +27,19 @@
     /// A neighbour could not reach it, directly or through others.
     #[serde(rename = "s")]
     Suspect,
-    /// It was suspected and did not refute in time.
+    /// It was suspected and did not refute this in time.
     #[serde(rename = "d")]
     Dead,
 }
 
-/// What one process tells another about a third.
+/// A report of one process to another about a third.
 #[message]
 #[derive(Eq)]
 pub struct Rumour {
     /// The process that the rumour is about.
     #[serde(rename = "p")]
     pub process: Process,
-    /// The life that the rumour is about.
+    /// The instance that the rumour is about.
     #[serde(rename = "l")]
     pub instance: Instance,
     /// Whether the process can be reached.
--- a/crates/member/tests/liveness.rs
+++ b/crates/member/tests/liveness.rs
@@ -50,10 +50,10 @@
     Liveness::new(Options::default(), name(at), Incarnation(1))
 }
 
-/// Lets `teller` tell all that it has to `hearer`.
-fn tell(teller: &mut Liveness, hearer: &mut Liveness, to: u64, roster: &Roster, now: Instant) {
-    for rumour in teller.rumours(&name(to)) {
-        hearer.apply(&rumour, roster, now);
+/// Sends the rumours of `sender` to `receiver`, the process numbered `to`.
+fn gossip(sender: &mut Liveness, receiver: &mut Liveness, to: u64, roster: &Roster, now: Instant) {
+    for rumour in sender.rumours(&name(to)) {
+        receiver.apply(&rumour, roster, now);
     }
 }
 
@@ -63,9 +63,9 @@
     let (mut a, mut b) = (view(0), view(1));
     a.suspect(&name(1), Incarnation(1), now);
     a.suspect(&name(2), Incarnation(1), now);
-    tell(&mut a, &mut b, 1, &roster, now);
+    gossip(&mut a, &mut b, 1, &roster, now);
     assert_eq!(b.instance().refuted, 1);
-    tell(&mut b, &mut a, 0, &roster, now);
+    gossip(&mut b, &mut a, 0, &roster, now);
     let later = now + Duration::from_secs(4);
     a.tick(&roster, later);
     assert_eq!(a.status(&name(1)), Status::Alive);
@@ -75,7 +75,7 @@
 #[test]
 fn whoever_missed_a_refutation_is_told_again() {
     let (roster, now) = (roster(8), clock::now());
-    let (mut knows, mut missed) = (view(0), view(1));
+    let (mut informed, mut missed) = (view(0), view(1));
     let mut rumour = Rumour {
         process: name(2),
         instance: view(2).instance(),
@@ -84,14 +84,14 @@
     missed.apply(&rumour, &roster, now);
     rumour.instance.refuted = 1;
     rumour.status = Status::Alive;
-    knows.apply(&rumour, &roster, now);
-    // Each tells others until it has told often enough.
+    informed.apply(&rumour, &roster, now);
+    // Both send their rumours until the transmissions are used up.
     for _ in 0..100 {
-        knows.rumours(&name(5));
+        informed.rumours(&name(5));
         missed.rumours(&name(6));
     }
-    tell(&mut missed, &mut knows, 0, &roster, now);
-    tell(&mut knows, &mut missed, 1, &roster, now);
+    gossip(&mut missed, &mut informed, 0, &roster, now);
+    gossip(&mut informed, &mut missed, 1, &roster, now);
     assert_eq!(missed.status(&name(2)), Status::Alive);
 }
 
--- a/crates/member/tests/registration.rs
+++ b/crates/member/tests/registration.rs
@@ -1,4 +1,4 @@
-//! A process's own record, whatever becomes of the replies.
+//! Registration of a process's own record, including lost replies.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -54,7 +54,7 @@
     assert_eq!(
         written.incarnation,
         Incarnation(8),
-        "the earlier life began at the same time"
+        "the earlier incarnation started at the same time"
     );
     assert_eq!(condition, Condition::Version(Version(3)));
     // The reply is lost after the write took effect.
@@ -74,7 +74,7 @@
     first.answer(Answer::Found(None), now, &mut rng());
     let (_, condition) = put(first.poll(now));
     assert_eq!(condition, Condition::Absent);
-    // The same incarnation from another address was faster.
+    // A process of the same incarnation at another address registered first.
     first.answer(found(record(5, 2), 1), now, &mut rng());
     assert!(first.superseded());
     assert_eq!(first.poll(now), None);
--- a/crates/node/src/calls.rs
+++ b/crates/node/src/calls.rs
@@ -14,10 +14,10 @@
 
 use crate::payload;
 
-/// How often the order is read if the snapshot is written anew meanwhile.
+/// How often the order of edits is read if the snapshot is rewritten meanwhile.
 const READS: usize = 3;
 
-/// Makes one call and returns its answer. Blocks its thread.
+/// Makes one call and returns its answer. Blocks the calling thread.
 pub(crate) fn perform<S: Store>(store: &S, own: &Record, held: Revision, call: Call) -> Answer {
     let answer = match call {
         Call::Settings { after, wait } => settings(store, held, after, wait).map(Answer::Settings),
@@ -39,8 +39,8 @@
     })
 }
 
-/// Reads what follows on `held`: nothing of it is a leftover of a number that
-/// was trimmed.
+/// Reads the revisions after `held`. The result contains no leftover entries of
+/// trimmed revisions.
 fn settings<S: Store>(
     store: &S,
     held: Revision,
@@ -55,11 +55,11 @@
         }
         proven = read(Catchup::new(held))?;
     }
-    Err("the snapshot was written anew during each read".to_owned())
+    Err("the snapshot was rewritten during each read".to_owned())
 }
 
-/// Tells whether the snapshot was written after the entries were listed. A
-/// holder of its version would never be told of entries from between.
+/// Returns whether the snapshot was written after the entries were listed. A
+/// watch from its version would miss the entries written in between.
 fn is_snapshot_later(proven: &Proven) -> bool {
     let snapshot = proven.snapshot.as_ref();
     snapshot.is_some_and(|snapshot| snapshot.version > proven.version)
@@ -77,7 +77,7 @@
     let changes = store.changes(Record::KIND, after, wait)?;
     let (delta, errors) = Delta::from_changes(after, changes);
     for error in errors {
-        tracing::warn!(%error, "a member is not understood");
+        tracing::warn!(%error, "member record could not be decoded");
     }
     Ok(delta)
 }
@@ -97,7 +97,7 @@
         Ok(answer) => answer,
         Err(Error::Conflict { current, .. }) => Own::Found(current.and_then(|object| row(*object))),
         Err(error) => {
-            tracing::debug!(%error, "own record not reached");
+            tracing::debug!(%error, "call for the process's own record failed");
             Own::Unanswered
         }
     }
--- a/crates/node/src/courier.rs
+++ b/crates/node/src/courier.rs
@@ -1,4 +1,4 @@
-//! Links to peers, made when there is something to send.
+//! Links to peers, opened on demand.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -10,14 +10,14 @@
 use cactusnotch_wire::Body;
 use tokio::sync::mpsc;
 
-/// The messages that wait for one peer; more are dropped, since every message
-/// is made good by a later one.
-const WAITING: usize = 64;
+/// The maximum number of messages queued for one peer. Further messages are
+/// dropped, since a later message makes up for each lost one.
+const QUEUE_MAX: usize = 64;
 
-/// How long a link stays without anything to send.
-const IDLE: Duration = Duration::from_mins(1);
+/// How long a link stays open without anything to send.
+const IDLE_TIMEOUT: Duration = Duration::from_mins(1);
 
-/// Sends messages to peers over links that it makes when needed.
+/// Sends messages to peers over links that it opens on demand.
 #[derive(Debug)]
 pub(crate) struct Courier {
     link: link::Options,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Sends a message to `peer` at `address`, or drops it.
+    /// Sends a message to `peer` at `address`; drops it if the queue is full.
     pub(crate) fn send(&self, peer: &Process, address: SocketAddr, message: Body) {
         let mut routes = self.routes.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(route) = routes.get(peer) {
@@ -48,16 +48,16 @@
     }
 
     fn open(&self, peer: &Process, address: SocketAddr, first: Body) -> mpsc::Sender<Body> {
-        let (sender, receiver) = mpsc::channel(WAITING);
-        // The queue is new and has room.
+        let (sender, receiver) = mpsc::channel(QUEUE_MAX);
+        // The queue is new and therefore empty.
         let _ = sender.try_send(first);
-        tokio::spawn(carry(self.link.clone(), peer.clone(), address, receiver));
+        tokio::spawn(deliver(self.link.clone(), peer.clone(), address, receiver));
         sender
     }
 }
 
-/// Carries messages to one peer until its link fails or stays idle.
-async fn carry(
+/// Sends messages to one peer until its link fails or stays idle.
+async fn deliver(
     options: link::Options,
     peer: Process,
     address: SocketAddr,
@@ -66,11 +66,11 @@
     let link = match dial::<Body>(address, &options).await {
         Ok(link) if link.peer().process == peer => link,
         Ok(link) => {
-            tracing::debug!(%peer, found = %link.peer(), "another process answers there");
+            tracing::debug!(%peer, found = %link.peer(), "address of the peer belongs to another process");
             return;
         }
         Err(error) => {
-            tracing::debug!(%error, %peer, "link to the peer not made");
+            tracing::debug!(%error, %peer, "link to the peer could not be opened");
             return;
         }
     };
@@ -83,11 +83,11 @@
                     return;
                 }
             }
-            unasked = receiver.recv() => match unasked {
+            received = receiver.recv() => match received {
                 Some(Ok(_)) => {}
                 Some(Err(_)) | None => return,
             },
-            () = tokio::time::sleep(IDLE) => return,
+            () = tokio::time::sleep(IDLE_TIMEOUT) => return,
         }
     }
 }
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -1,4 +1,4 @@
-//! The driver of the spread decision.
+//! The driver of the spread state machine.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -23,10 +23,11 @@
 use crate::courier::Courier;
 use crate::{Options, View, calls, payload};
 
-/// How many revisions are kept for a slow receiver of them all.
+/// How many revisions are buffered for a slow receiver of all revisions.
 const REVISIONS: usize = 64;
 
-/// The node of a process, which follows settings and roster while it lives.
+/// The node of a process, which keeps settings and roster up to date until it is
+/// dropped.
 #[derive(Debug)]
 pub struct Node<C: Clock> {
     shared: Arc<Shared<C>>,
@@ -48,7 +49,7 @@
 struct Inner {
     spread: spread::Node,
     replica: Replica,
-    /// The revisions of this step, oldest first.
+    /// The revisions applied in this step, oldest first.
     applied: Vec<(Revision, Arc<Tree>)>,
 }
 
@@ -76,26 +77,27 @@
             views: watch::Sender::new(Arc::new(view)),
             revisions: broadcast::Sender::new(REVISIONS),
         });
-        let ticking = Arc::clone(&shared);
+        let ticked = Arc::clone(&shared);
         let ticks = tokio::spawn(async move {
             let mut ticks = interval(options.tick);
             ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
             loop {
                 ticks.tick().await;
-                let now = ticking.clock.now();
-                ticking.step(|inner| inner.spread.on_tick(now));
+                let now = ticked.clock.now();
+                ticked.step(|inner| inner.spread.on_tick(now));
             }
         });
         Self { shared, ticks }
     }
 
-    /// Takes in a message that came from a peer by a link.
+    /// Handles a message that a link has received from a peer.
     pub fn receive(&self, from: &Process, message: Message) {
         let now = self.shared.clock.now();
         self.shared.step(|inner| inner.receive(from, message, now));
     }
 
-    /// Sends a message to a process on the roster, or drops it.
+    /// Sends a message to a process on the roster. The message is dropped if the
+    /// process has no known address or its queue is full.
     pub fn send(&self, to: &Process, message: Body) {
         let address = self.shared.lock().spread.address(to);
         if let Some(address) = address {
@@ -104,22 +106,22 @@
         }
     }
 
-    /// Returns what the process knows now.
+    /// Returns the current view.
     #[must_use]
     pub fn view(&self) -> Arc<View> {
         Arc::clone(&self.shared.views.borrow())
     }
 
-    /// Returns a receiver that is told of every new view.
+    /// Returns a receiver that is notified of new views.
     #[must_use]
     pub fn views(&self) -> watch::Receiver<Arc<View>> {
         self.shared.views.subscribe()
     }
 
-    /// Returns a receiver of the view after each revision that comes into
-    /// force from now on, oldest first, where [`Node::views`] gives only the
-    /// newest. A receiver that falls far behind is told how many it missed; a
-    /// snapshot leads over many revisions at once.
+    /// Returns a receiver of the view after each revision applied from now on,
+    /// oldest first, whereas [`Node::views`] returns only the newest. A receiver
+    /// that falls behind by more than the buffer gets the number of views that
+    /// it missed. A snapshot advances over many revisions at once.
     #[must_use]
     pub fn revisions(&self) -> broadcast::Receiver<Arc<View>> {
         self.shared.revisions.subscribe()
@@ -132,24 +134,25 @@
         self.shared.lock().spread.standing(now)
     }
 
-    /// Returns what the node can tell operators.
+    /// Returns the status for operators.
     #[must_use]
     pub fn status(&self) -> Status {
         let now = self.shared.clock.now();
         self.shared.lock().spread.status(now)
     }
 
-    /// Says in the process's record that it is leaving.
+    /// Sets the state of the process's record to leaving.
     pub fn leave(&self) {
         self.shared.lock().spread.leave();
     }
 
-    /// Takes the process's record off the roster.
+    /// Removes the process's record from the roster.
     pub fn deregister(&self) {
         self.shared.lock().spread.deregister();
     }
 
-    /// Tells whether the platform holds the process's record as it is wanted.
+    /// Returns whether the platform stores the process's record in its target
+    /// state.
     #[must_use]
     pub fn is_registered(&self) -> bool {
         self.shared.lock().spread.is_registered()
@@ -167,11 +170,11 @@
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Lets the decision take one step and carries its commands out.
+    /// Runs one step of the state machine and executes its commands.
     fn step(self: &Arc<Self>, step: impl FnOnce(&mut Inner) -> Vec<Command>) {
         let mut inner = self.lock();
         let commands = step(&mut inner);
-        let mut is_roster_new = false;
+        let mut roster_changed = false;
         for command in commands {
             match command {
                 Command::Send { to, message } => {
@@ -181,22 +184,22 @@
                     }
                 }
                 Command::Call { ticket, call } => self.call(&inner, ticket, call),
-                // The replica took it before the decision was told of it.
+                // The replica applied it before it was passed to the state machine.
                 Command::Apply(_) => {}
-                Command::Roster => is_roster_new = true,
+                Command::Roster => roster_changed = true,
             }
         }
         let mut applied = std::mem::take(&mut inner.applied);
         if let Some(newest) = applied.pop() {
-            let is_wanted = self.revisions.receiver_count() > 0;
-            for earlier in applied.into_iter().filter(|_| is_wanted) {
+            let has_receivers = self.revisions.receiver_count() > 0;
+            for earlier in applied.into_iter().filter(|_| has_receivers) {
                 let view = view(earlier, inner.spread.roster());
                 let _ = self.revisions.send(Arc::new(view));
             }
             let view = Arc::new(view(newest, inner.spread.roster()));
             let _ = self.revisions.send(Arc::clone(&view));
             self.views.send_replace(view);
-        } else if is_roster_new {
+        } else if roster_changed {
             let roster = Arc::new(inner.spread.roster().clone());
             self.views.send_modify(|view| {
                 *view = Arc::new(View {
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Makes a call on a thread of its own and takes its answer in.
+    /// Makes a call on a blocking thread and handles its answer.
     fn call(self: &Arc<Self>, inner: &Inner, ticket: Ticket, call: Call) {
         let own = inner.spread.record().clone();
         let held = inner.replica.revision();
@@ -221,8 +224,8 @@
 }
 
 impl Inner {
-    /// Takes in a peer's message, but no revision that the replica refuses:
-    /// what the decision counts as held is in force.
+    /// Handles a peer's message. A revision that the replica rejects is dropped,
+    /// so that each revision that the state machine holds is in force.
     fn receive(&mut self, from: &Process, message: Message, now: Instant) -> Vec<Command> {
         match &message {
             Message::Span(span) if !self.apply(span) => Vec::new(),
@@ -230,8 +233,8 @@
         }
     }
 
-    /// Takes in the platform's answer. If the replica refuses a revision of
-    /// it, those before it count, and the answer does not.
+    /// Handles the platform's answer. If the replica rejects a revision, the
+    /// revisions before it are applied and the answer counts as failed.
     fn answer(&mut self, ticket: Ticket, answer: Answer, now: Instant) -> Vec<Command> {
         let Answer::Settings(mut spans) = answer else {
             return self.spread.on_answer(ticket, answer, now);
@@ -250,8 +253,8 @@
         commands
     }
 
-    /// Puts a span in force if it leads on; returns whether the replica holds it
-    /// or lacks what comes before it.
+    /// Applies a span if it continues the replica's revision. Returns false if the
+    /// replica rejects it; spans already held or after a gap return true.
     fn apply(&mut self, span: &Span) -> bool {
         let held = self.replica.revision().0;
         if span.through.0 <= held || span.after.0 > held {
@@ -260,20 +263,20 @@
         let offer = match payload::read(span) {
             Ok(offer) => offer,
             Err(error) => {
-                tracing::error!(%error, "a revision is not understood");
+                tracing::error!(%error, "revision could not be decoded");
                 return false;
             }
         };
-        let taken = self.replica.offer(&offer);
-        if taken.is_held() {
+        let verdict = self.replica.offer(&offer);
+        if verdict.is_held() {
             metrics::gauge!(metric::NODE_REVISION).set(precise(span.through.0));
             tracing::info!(revision = %span.through, "settings in force in this process");
             let tree = Arc::new(self.replica.tree().clone());
             self.applied.push((self.replica.revision(), tree));
         } else {
-            tracing::error!(refused = %taken, through = %span.through, "a revision was not applied");
+            tracing::error!(refused = %verdict, through = %span.through, "revision was rejected");
         }
-        taken.is_held()
+        verdict.is_held()
     }
 }
 
@@ -286,7 +289,8 @@
     }
 }
 
-/// Returns a count as a gauge's value; counts stay far below the precision.
+/// Converts a count to a gauge's value; counts stay far below 2⁵³, so no
+/// precision is lost.
 #[allow(clippy::cast_precision_loss)]
 const fn precise(count: u64) -> f64 {
     count as f64
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -1,8 +1,8 @@
-//! The part of every process of cactusnotch that follows settings and roster.
+//! Keeps the settings and the roster of a cactusnotch process up to date.
 //!
-//! [`Node`] drives the spread decision: it carries its messages over links,
-//! makes its calls to the platform and puts the revisions that it learns in
-//! force. [`View`] is what the rest of the process reads.
+//! [`Node`] drives the state machine of `cactusnotch-spread`: it sends its
+//! messages over links, makes its calls to the platform and applies the revisions
+//! that it receives. The rest of the process reads the result as a [`View`].
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/node/src/options.rs
+++ b/crates/node/src/options.rs
@@ -1,4 +1,4 @@
-//! How a node runs.
+//! Options of a node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,17 +9,17 @@
 use cactusnotch_objects::http;
 use cactusnotch_spread as spread;
 
-/// How a node runs.
+/// Options of a node.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Who the process is and how its links are made.
+    /// The identity of the process and the options of its links.
     pub link: link::Options,
-    /// How the platform is reached.
+    /// The client options for the platform.
     pub platform: http::Options,
-    /// The times and bounds of the spread.
+    /// The intervals, time-outs and limits of the spread.
     pub spread: spread::Options,
-    /// Peers to be asked while the platform is down.
+    /// Peers that are contacted while the platform is down.
     pub seeds: Table<Process, SocketAddr>,
-    /// How often the decision is asked what is due.
+    /// The interval between ticks of the state machine.
     pub tick: Duration,
 }
--- a/crates/node/src/payload.rs
+++ b/crates/node/src/payload.rs
@@ -1,4 +1,4 @@
-//! Parts of the order as the payload of spans.
+//! Parts of the order of edits as the payload of spans.
 
 use bytes::Bytes;
 use cactusnotch_base::number::{Revision, Sequence};
@@ -7,7 +7,7 @@
 use cactusnotch_spread::Span;
 use derive_more::{Display, Error};
 
-/// A payload that is no part of the order.
+/// A payload that is not a valid part of the order of edits.
 #[derive(Debug, Display, Error)]
 #[display("payload of revision {through}: {detail}")]
 pub(crate) struct Error {
@@ -37,21 +37,23 @@
     }
 }
 
-/// Reads what a span carries.
+/// Decodes the payload of a span.
 ///
 /// # Errors
 ///
-/// Fails if that is not understood, or does not lead from where to where the
-/// span says.
+/// Fails if the payload cannot be decoded, or its revisions differ from the
+/// bounds of the span.
 pub(crate) fn read(span: &Span) -> Result<Offer, Error> {
     let fail = |detail: String| Error {
         through: span.through,
         detail,
     };
     let offer = ciborium::from_reader(span.payload.as_ref()).map_err(|e| fail(e.to_string()))?;
-    let (after, through) = bounds(&offer).ok_or_else(|| fail("it is empty".to_owned()))?;
+    let (after, through) = bounds(&offer).ok_or_else(|| fail("no entries".to_owned()))?;
     if (after, through) != (span.after.0, span.through.0) {
-        return Err(fail(format!("it leads from {after} to {through}")));
+        return Err(fail(format!(
+            "its revisions are after {after} through {through}, other than the span's"
+        )));
     }
     Ok(offer)
 }
--- a/crates/node/src/view.rs
+++ b/crates/node/src/view.rs
@@ -1,4 +1,4 @@
-//! What a process knows of the settings and the roster.
+//! The settings and the roster in force in a process.
 
 use std::sync::Arc;
 
@@ -6,15 +6,15 @@
 use cactusnotch_member::Roster;
 use cactusnotch_settings::{Resolved, Tree};
 
-/// What a process knows of the settings and the roster at one moment.
+/// The settings and the roster in force in a process at one moment.
 #[derive(Debug, Clone)]
 pub struct View {
     /// The revision in force in this process.
     pub revision: Revision,
     /// The tree after that revision.
     pub tree: Arc<Tree>,
-    /// Its values, with all inheritance worked out.
+    /// Its values, with all inheritance resolved.
     pub settings: Arc<Resolved>,
-    /// Who is a member.
+    /// The members.
     pub roster: Arc<Roster>,
 }
--- a/crates/node/tests/order.rs
+++ b/crates/node/tests/order.rs
@@ -1,4 +1,4 @@
-//! What a node takes for the order of edits.
+//! Which revisions a node accepts into the order of edits.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -21,7 +21,7 @@
 use serde_json::{Value, json};
 use tokio::time::timeout;
 
-const PEER_ANSWER_TIME: Duration = Duration::from_secs(30);
+const TIMEOUT: Duration = Duration::from_secs(30);
 
 fn start(platform: &http::Options) -> Node<System> {
     let identity = Identity {
@@ -96,7 +96,7 @@
 async fn reach(node: &Node<System>, revision: Revision) {
     let mut views = node.views();
     let reached = views.wait_for(|view| view.revision >= revision);
-    timeout(PEER_ANSWER_TIME, reached).await.unwrap().unwrap();
+    timeout(TIMEOUT, reached).await.unwrap().unwrap();
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -137,7 +137,7 @@
     let node = start(&options);
     let peer = Process::new("entry-1");
     let entry = next(&Replica::new(), "arrieta");
-    let tell = |span: Span| {
+    let deliver = |span: Span| {
         node.receive(&peer, Message::Span(span));
         (node.status().held, node.view().revision)
     };
@@ -146,7 +146,7 @@
     let unreadable = Bytes::from_static(b"\xff");
     let valid = span(0, &entry);
     assert_eq!(
-        tell(Span {
+        deliver(Span {
             payload: unreadable,
             ..valid.clone()
         }),
@@ -156,11 +156,11 @@
         previous: Digest::of(&entry),
         ..entry.clone()
     };
-    assert_eq!(tell(span(0, &forked)), held);
+    assert_eq!(deliver(span(0, &forked)), held);
     let far = Span {
         through: Sequence(9),
         ..valid.clone()
     };
-    assert_eq!(tell(far), held);
-    assert_eq!(tell(valid), (Sequence(1), Revision(1)));
+    assert_eq!(deliver(far), held);
+    assert_eq!(deliver(valid), (Sequence(1), Revision(1)));
 }
--- a/crates/spread/examples/spread_cost/main.rs
+++ b/crates/spread/examples/spread_cost/main.rs
@@ -1,9 +1,10 @@
-//! What membership and spread cost, and how long a revision takes.
+//! Measures the cost of membership and spread, and the time that a revision takes
+//! to reach all processes.
 //!
 //! All processes run in one thread and in virtual time over a network that
 //! delays (within a data centre 0.1 to 0.4 ms, within a region to 1.5 ms,
-//! between regions 20 to 40 ms) and loses. Each message is encoded and decoded
-//! by ciborium. Processor time is that of the thread.
+//! between regions 20 to 40 ms) and drops messages. Each message is
+//! encoded and decoded by ciborium. Processor time is that of the thread.
 
 #![allow(
     clippy::cast_precision_loss,
--- a/crates/spread/examples/spread_cost/memory.rs
+++ b/crates/spread/examples/spread_cost/memory.rs
@@ -1,4 +1,4 @@
-//! The memory of nodes.
+//! The memory use of nodes.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 
 use crate::common::{Shape, World};
 
-/// How many nodes are created; their mean is taken.
+/// The number of nodes that the mean is computed over.
 const NODES: usize = 32;
 
 /// Returns the resident memory of this process, in kilobytes.
@@ -22,8 +22,9 @@
         .expect("a number")
 }
 
-/// Returns the kilobytes that a node with the roster of `shape` takes, and the
-/// nodes, so that no measurement reuses the memory of an earlier one.
+/// Returns the memory use of a node with the roster of `shape`, in kilobytes, and
+/// the nodes. The caller keeps the nodes so that no later measurement reuses
+/// their memory.
 pub fn measure(shape: &Shape) -> (f64, Vec<Node>) {
     let world = World::new(shape, Options::default(), 1);
     let rows = world.slots.iter().zip(1..).map(|(slot, version)| Row {
--- a/crates/spread/examples/spread_cost/phase.rs
+++ b/crates/spread/examples/spread_cost/phase.rs
@@ -1,4 +1,4 @@
-//! The phases of a run and what they cost.
+//! The phases of a run and their costs.
 
 use std::convert::Infallible;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 
 const EDITS: usize = 30;
 const EDIT_EVERY: Micros = 3 * SECOND / 2;
-/// A revision's bytes.
+/// The payload size of a revision, in bytes.
 const PAYLOAD: usize = 400;
-/// Processes restarted in place during the outage of about a minute, as many as
-/// an hour's share of 650 a day.
+/// The number of processes restarted in place during the outage of about a minute;
+/// this is the hourly number at 650 restarts a day.
 const RESTARTS: usize = 27;
 
 pub fn shape(entries: usize) -> Shape {
@@ -37,7 +37,7 @@
     world.slots.iter().filter_map(|slot| slot.node.as_ref())
 }
 
-/// What one phase cost, for a process and a second.
+/// The cost of one phase, per process and second.
 pub struct Rate {
     pub mean: f64,
     pub worst: f64,
@@ -70,7 +70,8 @@
     }
 }
 
-/// Returns the calls begun between two instants, and the most in a second.
+/// Returns the number of calls started between two instants, and the maximum in
+/// one second.
 pub fn calls(world: &World, from: Micros, to: Micros) -> (f64, u32) {
     let second = |at: Micros| usize::try_from(at / SECOND).unwrap_or(usize::MAX);
     let calls = world.platform.calls.iter();
@@ -80,14 +81,14 @@
     (f64::from(sum), part.into_iter().max().unwrap_or_default())
 }
 
-/// How long revisions took, in milliseconds.
+/// Propagation times of revisions, in milliseconds.
 pub struct Times {
     pub held: Histogram<u64>,
     pub known: Histogram<u64>,
 }
 
-/// Writes revisions and measures until every process holds each, and until
-/// every process knows that it is in force everywhere.
+/// Writes revisions and measures the time until every process holds each, and
+/// until every process has confirmed that it is in force everywhere.
 pub fn edit(world: &mut World) -> Times {
     let mut written = Vec::new();
     let mut known: Vec<Option<Micros>> = vec![None; EDITS];
@@ -116,9 +117,12 @@
             "{sequence} did not arrive"
         );
         let last = applied.into_iter().max().unwrap_or_default();
-        let told = known[at].expect("it is known to be in force");
+        let confirmed = known[at].expect("it is known to be in force");
         times.held.record((last - since) / 1000).expect("in range");
-        times.known.record((told - since) / 1000).expect("in range");
+        times
+            .known
+            .record((confirmed - since) / 1000)
+            .expect("in range");
     }
     times
 }
@@ -152,7 +156,7 @@
 }
 
 /// Takes the platform down for about a minute, restarts processes meanwhile, and
-/// watches the minute after.
+/// counts the calls in the minute after.
 pub fn outage(world: &mut World) -> Outage {
     world.platform.down = true;
     let began = world.now;
@@ -188,7 +192,7 @@
     }
 }
 
-/// A world in which all processes have started and serve.
+/// A simulation in which all processes have started and serve.
 pub struct Started {
     pub world: World,
     pub seconds: u64,
@@ -222,7 +226,7 @@
     }
 }
 
-/// What was measured at one size.
+/// The measurements at one size.
 pub struct Size {
     pub entries: usize,
     pub processes: usize,
--- a/crates/spread/examples/spread_cost/table.rs
+++ b/crates/spread/examples/spread_cost/table.rs
@@ -1,4 +1,4 @@
-//! Tables of what was measured.
+//! Tables of the measurements.
 
 use crate::common::SECOND;
 use crate::phase::{Rate, Size};
--- a/crates/spread/src/aggregate.rs
+++ b/crates/spread/src/aggregate.rs
@@ -1,4 +1,4 @@
-//! Who holds what, as one node can prove it.
+//! Aggregation of the acknowledgements that one node has received.
 
 use std::time::Duration;
 
@@ -15,11 +15,11 @@
 use crate::report::{Acknowledgement, Laggard, Place, Report, millis};
 use crate::topology::Topology;
 
-/// How long a child may lack a revision before it is named: pushes are on
-/// their way for that long.
+/// How long a child may lack a revision before it is listed as a laggard; a
+/// push may take this long to arrive.
 const PUSH_GRACE: Duration = Duration::from_secs(1);
 
-/// What a node knows when it counts.
+/// The state of a node that acknowledgements are aggregated from.
 pub(crate) struct Aggregate<'a> {
     pub(crate) own: &'a Record,
     pub(crate) options: &'a Options,
@@ -32,7 +32,7 @@
 }
 
 impl Aggregate<'_> {
-    /// Returns what the node's subtree holds and lacks.
+    /// Returns the report of the node's subtree.
     pub(crate) fn subtree(&self) -> Report {
         let instance = self.liveness.instance();
         let mut report = Report {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Returns the report of `peer`, unless it is too old, and how long ago it
-    /// was asked for.
+    /// Returns the report of `peer`, unless it is too old, and the time since it
+    /// was requested.
     fn fresh<'p>(&self, peer: &'p Peer) -> Option<(&'p Report, Duration)> {
         let (report, asked) = peer.report.as_ref()?;
         let elapsed = self.elapsed(*asked);
@@ -91,7 +91,7 @@
         (age <= self.options.acknowledgement_max_age).then_some((report, elapsed))
     }
 
-    /// Returns the report of a data centre and how long ago it was asked for.
+    /// Returns the report of a data centre and the time since it was requested.
     fn data_centre(&self, name: &DataCentre) -> Option<(Report, Duration)> {
         if *name == self.own.data_centre {
             return Some((self.subtree(), Duration::ZERO));
@@ -102,21 +102,21 @@
         Some((report.clone(), elapsed))
     }
 
-    /// Returns the newest revision that every process on the roster holds, if
-    /// the head can prove one.
+    /// Returns the newest revision that every process on the roster is confirmed
+    /// to hold, if this node is a head and can establish one.
     ///
-    /// For each data centre the lives that acknowledged have to be the lives
-    /// on the roster, and the roster has to be known up to the version at
-    /// which the revision was written: whoever joined later has read it.
+    /// For each data centre, the incarnations that acknowledged must match those
+    /// on the roster, and the roster must be complete up to the version at which
+    /// the revision was written. Processes that joined later have read it.
     pub(crate) fn in_force(&self) -> Option<Sequence> {
         if !self.topology.is_head() {
             return None;
         }
         let roster = self.journal.roster();
         let mut held = self.log.held();
-        for (name, lives) in roster.data_centres() {
+        for (name, expected) in roster.data_centres() {
             let (report, _) = self.data_centre(name)?;
-            if report.acknowledgement.fingerprint != lives {
+            if report.acknowledgement.fingerprint != expected {
                 return None;
             }
             held = held.min(report.acknowledgement.held);
@@ -126,8 +126,8 @@
         (complete && !roster.is_empty()).then_some(held)
     }
 
-    /// Returns how many lack the newest revision, over all data centres, and
-    /// the first of them.
+    /// Returns how many processes lack the newest revision, over all data
+    /// centres, and the first of them.
     pub(crate) fn lacking(&self) -> (u32, Vec<Laggard>) {
         let mut total = Report {
             acknowledgement: Acknowledgement {
--- a/crates/spread/src/bucket.rs
+++ b/crates/spread/src/bucket.rs
@@ -1,9 +1,9 @@
-//! A bound on bytes a second.
+//! A rate limit in bytes per second.
 
 use cactusnotch_base::clock::Instant;
 
-/// A token bucket that may be overdrawn once by a large item and then waits
-/// until the debt is paid.
+/// A token bucket. One large item may make the level negative; nothing more is
+/// sent until it is positive again.
 #[derive(Debug)]
 pub(crate) struct Bucket {
     rate: f64,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Takes `bytes` and tells whether they may be sent at `now`.
+    /// Returns whether `bytes` may be sent at `now`, and deducts them if so.
     pub(crate) fn take(&mut self, bytes: usize, now: Instant) -> bool {
         let elapsed = now.saturating_duration_since(self.at).as_secs_f64();
         self.at = self.at.max(now);
--- a/crates/spread/src/journal.rs
+++ b/crates/spread/src/journal.rs
@@ -1,4 +1,4 @@
-//! The roster with its latest changes.
+//! The roster with its most recent changes.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::name::Process;
@@ -7,10 +7,10 @@
 
 use crate::tail::{self, Piece, Tail};
 
-/// The bytes that a record takes on the wire, roughly.
+/// The approximate size of a record on the wire, in bytes.
 const ROW: usize = 200;
 
-/// The bytes that a name takes on the wire, roughly.
+/// The approximate size of a name on the wire, in bytes.
 const NAME: usize = 24;
 
 impl Piece for Delta {
@@ -27,7 +27,7 @@
     }
 }
 
-/// The roster with its latest changes.
+/// The roster with its most recent changes.
 #[derive(Debug)]
 pub(crate) struct Journal {
     roster: Roster,
@@ -46,12 +46,12 @@
         &self.roster
     }
 
-    /// Notes that nothing changed up to `version`.
+    /// Records that nothing changed up to `version`.
     pub(crate) fn confirm(&mut self, version: Version) {
         self.roster.confirm(version);
     }
 
-    /// Takes in a change and tells whether the roster moved on.
+    /// Applies a change and returns whether the roster advanced.
     pub(crate) fn apply(&mut self, delta: Delta) -> bool {
         let moved = self.roster.apply(&delta);
         if moved {
@@ -60,15 +60,15 @@
         moved
     }
 
-    /// Returns the size on the wire of [`Journal::since`], in bytes, roughly and
-    /// at most.
+    /// Returns an approximate upper bound of the size of [`Journal::since`] on the
+    /// wire, in bytes.
     pub(crate) fn cost_since(&self, version: Version) -> usize {
         let kept = self.tail.since(version.0).filter(|kept| !kept.is_empty());
         kept.map_or_else(|| NAME + ROW * self.roster.len(), tail::cost)
     }
 
-    /// Returns the change that takes a holder of `version` on; the whole
-    /// roster if the changes since are no longer all kept.
+    /// Returns the changes after `version` as one, or the whole roster if not all
+    /// of them are retained; `None` if there are none.
     pub(crate) fn since(&self, version: Version) -> Option<Delta> {
         if version >= self.roster.through() {
             return None;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Returns changes that follow one another as one.
+/// Merges consecutive changes into one.
 fn merged(deltas: &[Delta]) -> Delta {
     let mut rows: Table<&Process, Option<&Row>> = Table::new();
     for delta in deltas {
--- a/crates/spread/src/lib.rs
+++ b/crates/spread/src/lib.rs
@@ -1,13 +1,14 @@
-//! Spreads numbered revisions and the roster to every process, and knows
+//! Distributes numbered revisions and the roster to every process, and tracks
 //! where they are in force.
 //!
-//! A [`Node`] is the part of one process. It performs no I/O: messages,
-//! answers of the platform and ticks go in, [`Command`]s come out. A few
-//! watchers in each data centre read the platform; everybody else is told
-//! along a tree within the data centre and repaired by exchanges with random
-//! peers. Acknowledgements come back up the same tree as one report a
-//! subtree. `docs/design/spread.md` weighs the ways and gives the argument
-//! for why a revision is never said to be in force while a process lacks it.
+//! A [`Node`] is the state machine of one process. It performs no I/O:
+//! messages, answers of the platform and ticks are its inputs, [`Command`]s its
+//! outputs. A few watchers in each data centre read the platform. All other
+//! processes receive updates along a tree within the data centre, and exchanges
+//! with random peers repair what the tree misses. Acknowledgements are
+//! aggregated up the same tree, one report per subtree.
+//! `docs/design/spread.md` compares the alternatives and argues why a revision
+//! is never reported as in force while a process lacks it.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/spread/src/log.rs
+++ b/crates/spread/src/log.rs
@@ -6,19 +6,19 @@
 use crate::span::Span;
 use crate::tail::Tail;
 
-/// What became of a span.
+/// The outcome of applying a span.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    /// It took the process to a later revision.
+    /// It advanced the process to a later revision.
     Applied,
-    /// The process holds it already.
+    /// The process already holds it.
     Known,
     /// Revisions before it are missing.
     Gap,
 }
 
-/// The revisions that a process holds: a number that never goes back, and
-/// the latest spans.
+/// The revisions that a process holds: a number that never decreases, and the
+/// most recent spans.
 #[derive(Debug)]
 pub(crate) struct Log {
     held: Sequence,
@@ -47,7 +47,7 @@
         self.version
     }
 
-    /// Takes in a span if it leads on from what is held.
+    /// Applies a span if it continues the revisions held.
     pub(crate) fn apply(&mut self, span: &Span) -> Outcome {
         if span.through <= self.held {
             return Outcome::Known;
@@ -64,7 +64,7 @@
         Outcome::Applied
     }
 
-    /// Keeps `snapshot` for processes that lack more than the latest spans.
+    /// Stores `snapshot` for processes that lack more than the retained spans.
     pub(crate) fn keep_snapshot(&mut self, snapshot: Span) {
         let known = self.snapshot.as_ref().map(|span| span.through);
         if snapshot.after == Sequence(0) && known < Some(snapshot.through) {
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Returns the spans that take a holder of `held` on, as far as they are
-    /// kept.
+    /// Returns the spans that bring a holder of `held` up to date, or none if they
+    /// are not retained.
     pub(crate) fn since(&self, held: Sequence) -> Vec<Span> {
         if let Some(spans) = self.tail.since(held.0) {
             return spans.to_vec();
--- a/crates/spread/src/message.rs
+++ b/crates/spread/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell one another.
+//! Messages between nodes.
 
 use cactusnotch_base::name::Process;
 use cactusnotch_base::number::Sequence;
@@ -9,57 +9,58 @@
 use crate::report::{Laggard, Report};
 use crate::span::Span;
 
-/// What a node tells of itself with each ping and pong.
+/// The sender's own state, sent with each ping and pong.
 #[message]
 pub struct Summary {
-    /// The newest revision that it holds.
+    /// The newest revision that the sender holds.
     #[serde(rename = "h")]
     pub held: Sequence,
-    /// The version of its roster.
+    /// The version of the sender's roster.
     #[serde(rename = "o")]
     pub roster: Version,
-    /// The newest revision that it knows to be in force everywhere.
+    /// The newest revision that the sender has confirmed to be in force
+    /// everywhere.
     #[serde(rename = "f")]
     pub in_force: Sequence,
-    /// Whether it has caught up in this life.
+    /// Whether the sender has caught up since it started.
     #[serde(rename = "c")]
     pub caught_up: bool,
-    /// What it tells of others.
+    /// Rumours about other processes.
     #[serde(rename = "r", default, skip_serializing_if = "Vec::is_empty")]
     pub rumours: Vec<Rumour>,
 }
 
-/// Asks a peer whether it is there and what its subtree holds.
+/// Checks that a peer responds and requests the report of its subtree.
 #[message]
 pub struct Ping {
-    /// Stands for the instant at which the sender asked.
+    /// Encodes the time at which the ping was sent.
     #[serde(rename = "t")]
     pub stamp: u64,
-    /// What the sender tells of itself.
+    /// The sender's own state.
     #[serde(rename = "s")]
     pub summary: Summary,
     /// How many processes lack the newest revision, and the first of them, as
-    /// the head of the data centre sees it; for children only.
+    /// computed by the head of the data centre; sent to children only.
     #[serde(rename = "l", default, skip_serializing_if = "Option::is_none")]
     pub lacking: Option<(u32, Vec<Laggard>)>,
 }
 
-/// Answers a ping; sent again unasked when the report changes.
+/// Answers a ping; sent again without a ping when the report changes.
 #[message]
 pub struct Pong {
     /// The stamp of the ping.
     #[serde(rename = "t")]
     pub stamp: u64,
-    /// What the sender tells of itself.
+    /// The sender's own state.
     #[serde(rename = "s")]
     pub summary: Summary,
-    /// What the sender's subtree holds; of its whole data centre towards
-    /// another one.
+    /// The report of the sender's subtree; for receivers in another data
+    /// centre this is the whole data centre.
     #[serde(rename = "e", default, skip_serializing_if = "Option::is_none")]
     pub report: Option<Report>,
 }
 
-/// Asks for what the sender lacks.
+/// Requests the revisions and roster changes that the sender lacks.
 #[message]
 pub struct Fetch {
     /// The newest revision that the sender holds.
@@ -70,28 +71,28 @@
     pub roster: Version,
 }
 
-/// What nodes tell one another.
+/// A message between nodes.
 #[message]
 pub enum Message {
-    /// Asks whether a peer is there and what its subtree holds.
+    /// Checks that a peer responds and requests the report of its subtree.
     #[serde(rename = "p")]
     Ping(Ping),
     /// Answers a ping.
     #[serde(rename = "q")]
     Pong(Pong),
-    /// Brings a revision.
+    /// Carries a revision.
     #[serde(rename = "s")]
     Span(Span),
-    /// Brings changes of the roster.
+    /// Carries changes of the roster.
     #[serde(rename = "d")]
     Delta(Delta),
-    /// Asks for what the sender lacks.
+    /// Requests the revisions and roster changes that the sender lacks.
     #[serde(rename = "f")]
     Fetch(Fetch),
-    /// Asks to ping a process that the sender cannot reach.
+    /// Asks the receiver to ping a process that the sender cannot reach.
     #[serde(rename = "r")]
     Relay(Process),
-    /// Tells that a process was heard on the receiver's behalf.
+    /// Reports that a process, pinged on the receiver's behalf, has answered.
     #[serde(rename = "h")]
     Reached(Process),
 }
--- a/crates/spread/src/node.rs
+++ b/crates/spread/src/node.rs
@@ -1,4 +1,4 @@
-//! The part of one process in membership and spread.
+//! The state machine of one process for membership and spread.
 
 mod join;
 mod platform;
@@ -33,11 +33,11 @@
 use crate::topology::Topology;
 use crate::watch::{Calls, Stale};
 
-/// The part of one process in membership and spread.
+/// The state machine of one process for membership and spread.
 ///
 /// The driver calls [`Node::on_tick`] about ten times a second,
 /// [`Node::on_message`] for each message of a peer and [`Node::on_answer`] for
-/// each call to the platform that ended, and carries out the commands.
+/// each completed call to the platform, and executes the returned commands.
 #[derive(Debug)]
 pub struct Node {
     options: Options,
@@ -74,10 +74,10 @@
 impl Node {
     /// Creates the node of a process that starts at `now`.
     ///
-    /// `record` describes the process; its incarnation is larger than that of
-    /// its earlier lives as far as the process can tell, such as its start in
-    /// wall-clock milliseconds. `seeds` are peers from the process's settings,
-    /// to be asked while the platform is down.
+    /// `record` describes the process; its incarnation should exceed those
+    /// of its earlier starts, such as the start time in wall-clock milliseconds.
+    /// `seeds` are peers from the process's configuration, which are contacted
+    /// while the platform is down.
     #[must_use]
     pub fn new(
         options: Options,
@@ -130,19 +130,19 @@
         node
     }
 
-    /// Returns the process's record as it wants it in the platform.
+    /// Returns the record that the process wants stored in the platform.
     #[must_use]
     pub const fn record(&self) -> &Record {
         self.registration.record()
     }
 
-    /// Returns the roster that the node knows.
+    /// Returns the node's copy of the roster.
     #[must_use]
     pub const fn roster(&self) -> &Roster {
         self.journal.roster()
     }
 
-    /// Returns who can be reached, as far as the node knows.
+    /// Returns the node's view of which processes are reachable.
     #[must_use]
     pub const fn liveness(&self) -> &Liveness {
         &self.liveness
@@ -154,13 +154,13 @@
         self.log.held()
     }
 
-    /// Returns the newest revision that is proved to be in force everywhere.
+    /// Returns the newest revision that is confirmed to be in force everywhere.
     #[must_use]
     pub const fn in_force(&self) -> Sequence {
         self.in_force
     }
 
-    /// Returns where `process` is reached, from the roster or the seeds.
+    /// Returns the address of `process`, from the roster or the seeds.
     #[must_use]
     pub fn address(&self, process: &Process) -> Option<SocketAddr> {
         let record = self.roster().get(process);
@@ -169,16 +169,16 @@
             .or_else(|| self.seeds.get(process).copied())
     }
 
-    /// Tells whether the process is among its data centre's watchers of the
-    /// platform. It is no right to act: one watcher too many does no harm.
+    /// Returns whether the process is among its data centre's watchers of the
+    /// platform. This grants no exclusive right: an extra watcher is harmless.
     #[must_use]
     pub fn watches(&self) -> bool {
         let rank = self.topology.rank;
         rank.is_some_and(|rank| rank < self.options.watchers)
     }
 
-    /// Returns whether the process may serve at `now`. It is asked before each
-    /// piece of work, since the process may have been paused.
+    /// Returns whether the process may serve at `now`. Callers check this before
+    /// each piece of work, since the process may have been paused.
     #[must_use]
     pub fn standing(&self, now: Instant) -> Standing {
         if self.superseded {
@@ -194,53 +194,54 @@
         }
     }
 
-    /// Returns what the node can tell operators at `now`.
+    /// Returns the status for operators at `now`.
     #[must_use]
     pub fn status(&self, now: Instant) -> Status {
-        let told = self.lacking.as_ref();
+        let reported = self.lacking.as_ref();
         Status {
             standing: self.standing(now),
             held: self.log.held(),
             newest: self.newest,
             in_force: self.in_force,
-            lacking: told.map_or(0, |(count, ..)| *count),
-            laggards: told.map_or(Vec::new(), |(_, laggards, _)| laggards.clone()),
-            age: told.map(|(.., at)| now.saturating_duration_since(*at)),
+            lacking: reported.map_or(0, |(count, ..)| *count),
+            laggards: reported.map_or(Vec::new(), |(_, laggards, _)| laggards.clone()),
+            age: reported.map(|(.., at)| now.saturating_duration_since(*at)),
         }
     }
 
-    /// Keeps `snapshot`, which starts after zero, for processes that lack more
-    /// than the latest revisions.
+    /// Stores `snapshot`, which starts after zero, for processes that lack more
+    /// than the retained revisions.
     pub fn keep_snapshot(&mut self, snapshot: Span) {
         self.log.keep_snapshot(snapshot);
     }
 
-    /// Starts a planned stop: the record says that the process is leaving.
+    /// Starts a planned stop by setting the record's state to leaving.
     pub fn leave(&mut self) {
         self.leaving = true;
         self.registration.set_target(Some(State::Leaving));
     }
 
-    /// Ends a planned stop: the record is taken off the roster.
+    /// Ends a planned stop by removing the record from the roster.
     pub fn deregister(&mut self) {
         self.leaving = true;
         self.registration.set_target(None);
     }
 
-    /// Tells whether the platform holds the record as it is wanted.
+    /// Returns whether the platform stores the record in its target state.
     #[must_use]
     pub fn is_registered(&self) -> bool {
         self.registration.is_current()
     }
 
-    /// Takes in a revision that this process wrote or read itself.
+    /// Applies a revision that this process wrote or read itself.
     pub fn on_accepted(&mut self, span: Span, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
         self.apply_spans(vec![span], None, now, &mut out);
         out
     }
 
-    /// Tells whether neither a peer nor the platform was heard for long.
+    /// Returns whether neither a peer nor the platform has answered within the
+    /// isolation time-out.
     fn is_isolated(&self, now: Instant) -> bool {
         if self.roster().len() <= 1 {
             return false;
--- a/crates/spread/src/node/join.rs
+++ b/crates/spread/src/node/join.rs
@@ -1,4 +1,4 @@
-//! How a process comes to serve.
+//! The transition of a process from joining to serving.
 
 use std::time::Duration;
 
@@ -7,15 +7,16 @@
 
 use crate::node::Node;
 
-/// How many calls in a row fail before the platform counts as down.
+/// The number of consecutive failed calls after which the platform counts as
+/// down.
 const OUTAGE_FAILURES: u32 = 2;
 
-/// How long the slowest peer is waited for while the platform is down.
+/// How long to wait for the answers of peers while the platform is down.
 const PEER_ANSWER_TIME: Duration = Duration::from_secs(2);
 
 impl Node {
-    /// Notices at the start of each event that the process was out of touch:
-    /// others may have gone on without it, so it enters anew.
+    /// Restarts the join at the start of an event if the process was isolated,
+    /// since other processes may have applied newer revisions meanwhile.
     pub(super) fn check_isolation(&mut self, now: Instant) {
         if self.join.complete && self.is_isolated(now) {
             self.rejoin(now);
@@ -27,9 +28,9 @@
         self.registration.invalidate();
     }
 
-    /// Lets the process serve once it can prove the newest revision: read from
-    /// the platform after its record was written, or, with the platform down,
-    /// the newest of the peers that were asked and answered.
+    /// Completes the join once the process holds the newest revision: either it
+    /// has read the platform after its record was written or, while the platform
+    /// is down, it holds the newest revision of the peers that answered.
     pub(super) fn try_join(&mut self, now: Instant) {
         if self.join.complete || self.superseded {
             return;
@@ -49,8 +50,8 @@
 
     fn confirmed_by_peers(&self, now: Instant) -> bool {
         let failures = self.calls.failures().max(self.registration.failures());
-        let asked_for = now.saturating_duration_since(self.join.from);
-        if failures < OUTAGE_FAILURES || now < self.join.from || asked_for < PEER_ANSWER_TIME {
+        let waited = now.saturating_duration_since(self.join.from);
+        if failures < OUTAGE_FAILURES || now < self.join.from || waited < PEER_ANSWER_TIME {
             return false;
         }
         if self.roster().get(&self.record().process).is_none() {
@@ -68,7 +69,7 @@
             && self.in_force <= self.log.held()
     }
 
-    /// Notices what the roster says of this process itself.
+    /// Checks the roster's row of this process itself.
     pub(super) fn check_own_row(&mut self, now: Instant) {
         let roster = self.journal.roster();
         let row = roster.get(&self.registration.record().process);
@@ -94,7 +95,7 @@
         self.sync_incarnation(now);
     }
 
-    /// Notices a later life of this process's name in a rumour.
+    /// Checks for a later incarnation of this process's name in rumours.
     pub(super) fn check_later_incarnation(&mut self, now: Instant) {
         let Some(later) = self.liveness.later_incarnation() else {
             return;
@@ -104,7 +105,7 @@
         self.sync_incarnation(now);
     }
 
-    /// Lets the liveness tell the incarnation that the record has.
+    /// Updates the incarnation that rumours announce from the record.
     pub(super) fn sync_incarnation(&mut self, now: Instant) {
         let incarnation = self.registration.record().incarnation;
         if incarnation > self.liveness.instance().incarnation {
--- a/crates/spread/src/node/platform.rs
+++ b/crates/spread/src/node/platform.rs
@@ -1,4 +1,4 @@
-//! What a node asks of the platform.
+//! Calls of a node to the platform.
 
 use std::time::Duration;
 
@@ -13,9 +13,8 @@
 use crate::watch::Purpose;
 
 impl Node {
-    /// Takes in how a call to the platform ended. Whatever the driver cannot
-    /// decode, and whatever it waited for in vain, is
-    /// [`Answer::Unanswered`].
+    /// Handles the result of a call to the platform. An answer that the driver
+    /// cannot decode, and a call that timed out, is [`Answer::Unanswered`].
     pub fn on_answer(&mut self, ticket: Ticket, answer: Answer, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
         self.check_isolation(now);
@@ -65,21 +64,21 @@
     ) {
         let gap = self.apply_spans(spans, None, now, out);
         let read = purpose == Purpose::ReadSettings;
-        // A watch may have skipped a revision; a plain read has not, and a gap
-        // after one means that only a snapshot leads on.
+        // A watch may have skipped a revision. A plain read has not, and a gap
+        // after one means that a snapshot is needed.
         self.stale.settings = if read {
             gap
         } else {
             gap || self.stale.settings
         };
         if read && !gap {
-            self.join.read = self.join.asked_after;
+            self.join.read = self.join.requested_after;
         }
     }
 
     fn on_members(&mut self, purpose: Purpose, delta: Delta, now: Instant, out: &mut Vec<Command>) {
         if purpose == Purpose::WatchMembers {
-            // A watch may skip changes, so that it only tells when to read.
+            // A watch may skip changes, so it only triggers a read.
             self.stale.members |= !delta.is_empty();
             return;
         }
@@ -154,7 +153,7 @@
         if !wanted || !self.calls.free(Purpose::ReadSettings, now) {
             return;
         }
-        self.join.asked_after = registered;
+        self.join.requested_after = registered;
         let after = if self.stale.settings {
             Version(0)
         } else {
@@ -169,8 +168,8 @@
         let registered = self.registration.version();
         let after = self.roster().confirmed();
         let entering = !self.join.complete && registered > Some(after);
-        let unproved = self.topology.is_head() && self.log.version() > after;
-        let wanted = entering || unproved || late || self.stale.members;
+        let unconfirmed = self.topology.is_head() && self.log.version() > after;
+        let wanted = entering || unconfirmed || late || self.stale.members;
         if wanted && self.calls.free(Purpose::ReadMembers, now) {
             let wait = Duration::ZERO;
             let call = Call::Members { after, wait };
@@ -178,8 +177,8 @@
         }
     }
 
-    /// Takes a process that has been dead for long off the roster. A right to
-    /// act that it holds is not touched by that.
+    /// Removes a process that has been dead for the expiry time from the roster.
+    /// This does not affect any lease that it holds.
     fn expire(&mut self, now: Instant, out: &mut Vec<Command>) {
         if !self.calls.free(Purpose::Expire, now) {
             return;
--- a/crates/spread/src/node/receive.rs
+++ b/crates/spread/src/node/receive.rs
@@ -1,4 +1,4 @@
-//! What a node makes of its peers' messages.
+//! Handling of messages from peers.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::name::Process;
@@ -11,7 +11,7 @@
 use crate::span::Span;
 
 impl Node {
-    /// Takes in a message of peer `from`, whose name the link has proved.
+    /// Handles a message of peer `from`, whose name the link has authenticated.
     pub fn on_message(&mut self, from: &Process, message: Message, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
         self.check_isolation(now);
@@ -52,8 +52,8 @@
         self.apply_summary(from, &ping.summary, now);
         self.peer(from, now).asked = Some(ping.stamp);
         if self.topology.parent.as_ref() == Some(from) {
-            let told = ping.lacking;
-            self.lacking = told.map(|(count, laggards)| (count, laggards, now));
+            let reported = ping.lacking;
+            self.lacking = reported.map(|(count, laggards)| (count, laggards, now));
         }
         self.pong(from, ping.stamp, now, out);
         self.offer(from, false, now, out);
@@ -89,8 +89,8 @@
         self.offer(from, true, now, out);
     }
 
-    /// Takes in spans, puts them into force in order, passes them on and tells
-    /// whether revisions before one of them are missing.
+    /// Applies spans in order, forwards them, and returns whether revisions before
+    /// one of them are missing.
     pub(super) fn apply_spans(
         &mut self,
         spans: Vec<Span>,
@@ -119,7 +119,7 @@
         gap
     }
 
-    /// Takes in a change of the roster and passes it on.
+    /// Applies a change of the roster and forwards it.
     pub(super) fn apply_delta(
         &mut self,
         delta: Delta,
--- a/crates/spread/src/node/send.rs
+++ b/crates/spread/src/node/send.rs
@@ -1,4 +1,4 @@
-//! What a node tells its peers.
+//! Messages that a node sends to its peers.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::name::Process;
@@ -33,8 +33,8 @@
     pub(super) fn ping(&mut self, to: &Process, now: Instant, out: &mut Vec<Command>) {
         self.peer(to, now).pinged = Some(now);
         let child = self.topology.children.contains(to);
-        let told = self.lacking.as_ref().filter(|_| child);
-        let lacking = told.map(|(count, laggards, _)| (*count, laggards.clone()));
+        let reported = self.lacking.as_ref().filter(|_| child);
+        let lacking = reported.map(|(count, laggards, _)| (*count, laggards.clone()));
         let ping = Ping {
             stamp: self.stamps.make(now),
             summary: self.summary(to),
@@ -43,8 +43,8 @@
         Self::send(to, Message::Ping(ping), out);
     }
 
-    /// Answers the last ping of `to`; a report goes to the parent and, from
-    /// head to head, to other data centres.
+    /// Answers the last ping of `to`. The answer includes a report if `to` is the
+    /// parent or, from head to head, in another data centre.
     pub(super) fn pong(&mut self, to: &Process, stamp: u64, now: Instant, out: &mut Vec<Command>) {
         let wanted = self.reports_to(to);
         let report = wanted.then(|| self.aggregate(now).subtree());
@@ -76,8 +76,8 @@
         Self::send(from, Message::Fetch(fetch), out);
     }
 
-    /// Sends `to` what it lacks. What is large goes only if it was `asked`
-    /// for.
+    /// Sends `to` the roster changes and revisions that it lacks. Large transfers
+    /// are sent only if `asked` is set.
     pub(super) fn offer(
         &mut self,
         to: &Process,
@@ -132,7 +132,7 @@
         }
     }
 
-    /// Sends what is new to the neighbours in the tree.
+    /// Sends new roster changes and revisions to the neighbours in the tree.
     pub(super) fn push(&mut self, now: Instant, out: &mut Vec<Command>) {
         let neighbours: Vec<Process> = self.topology.tree().cloned().collect();
         for neighbour in neighbours {
--- a/crates/spread/src/node/tick.rs
+++ b/crates/spread/src/node/tick.rs
@@ -1,4 +1,4 @@
-//! What a node does as time passes.
+//! Periodic work of a node.
 
 use std::time::Duration;
 
@@ -12,17 +12,18 @@
 use crate::node::Node;
 use crate::topology::Topology;
 
-/// How many peers are asked to ping one that is silent.
+/// The number of peers that are asked to ping an unresponsive one.
 const HELPERS: usize = 3;
 
-/// How often a process that counts as dead is tried again.
+/// The interval between pings to a process that counts as dead.
 const DEAD_PING_INTERVAL: Duration = Duration::from_secs(5);
 
-/// How long a peer that is no neighbour is remembered after its last message.
+/// How long the state of a peer that is no neighbour is kept after its last
+/// message.
 const PEER_RETENTION: Duration = Duration::from_mins(1);
 
 impl Node {
-    /// Does what is due at `now`.
+    /// Performs the work that is due at `now`.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Command> {
         let mut out = Vec::new();
         self.check_isolation(now);
@@ -39,7 +40,8 @@
         out
     }
 
-    /// Computes anew whom the node talks to, if what it depends on changed.
+    /// Recomputes the topology if the roster or the liveness has changed or the
+    /// contacts are due for replacement.
     pub(super) fn restructure(&mut self, now: Instant) {
         let version = self.roster().through();
         let generation = self.liveness.generation();
@@ -74,8 +76,8 @@
         }
     }
 
-    /// Forgets peers that the node has nothing to do with, and dates new
-    /// neighbours from now.
+    /// Drops peers outside the topology after a while, and starts the timers of
+    /// new neighbours.
     fn drop_peers(&mut self, now: Instant) {
         let topology = &self.topology;
         self.peers.retain(|process, peer| {
@@ -119,11 +121,12 @@
     }
 
     /// Returns how many of a data centre's first processes to ping: the second
-    /// one only while the first is silent.
+    /// one only while the first is unresponsive.
     fn depth(&self, heads: &[Process], now: Instant) -> usize {
         let first = heads.first().and_then(|head| self.peers.get(head));
-        let silent = first.is_some_and(|peer| peer.idle_time(now) > self.options.probe_timeout);
-        1 + usize::from(silent)
+        let unresponsive =
+            first.is_some_and(|peer| peer.idle_time(now) > self.options.probe_timeout);
+        1 + usize::from(unresponsive)
     }
 
     fn unknown_seeds(&self) -> Vec<Process> {
@@ -147,7 +150,7 @@
         }
     }
 
-    /// Compares with the next of the random peers.
+    /// Exchanges state with the next of the random peers.
     fn exchange(&mut self, now: Instant, out: &mut Vec<Command>) {
         let paced = self
             .exchanged
@@ -162,8 +165,9 @@
         self.ping(&contact, now, out);
     }
 
-    /// Probes neighbours that are silent, and suspects those whom nobody
-    /// reaches. A node that hears nobody suspects itself rather than others.
+    /// Probes unresponsive neighbours, and suspects those that nobody reaches. A
+    /// node that receives no messages at all suspects no neighbour, since its own
+    /// connection is the likelier cause.
     fn probe(&mut self, now: Instant, out: &mut Vec<Command>) {
         let limit = self.options.probe_timeout;
         let is_alone = self.peers.values().all(|peer| peer.idle_time(now) > limit);
@@ -201,7 +205,8 @@
         }
     }
 
-    /// Notes since when each child lacks the newest revision or is silent.
+    /// Records since when each child lacks the newest revision or is
+    /// unresponsive.
     fn update_children(&mut self, now: Instant) {
         for child in self.topology.children.clone() {
             let (newest, probe) = (self.newest, self.options.probe_timeout);
@@ -215,19 +220,20 @@
         }
     }
 
-    /// Counts, as the head, who holds and who lacks what.
+    /// Computes, on a head, the revision in force and the processes that lack the
+    /// newest one.
     fn update_in_force(&mut self, now: Instant) {
         if !self.topology.is_head() {
             return;
         }
-        let proved = self.aggregate(now).in_force();
-        self.in_force = self.in_force.max(proved.unwrap_or_default());
+        let confirmed = self.aggregate(now).in_force();
+        self.in_force = self.in_force.max(confirmed.unwrap_or_default());
         let (lacking, laggards) = self.aggregate(now).lacking();
         self.lacking = (lacking > 0).then_some((lacking, laggards, now));
     }
 
-    /// Tells at once what others wait for: a changed report upwards, a newly
-    /// proved revision downwards.
+    /// Announces changes without waiting for a ping: a changed report to the
+    /// parent, a newly confirmed revision to the children.
     fn announce(&mut self, now: Instant, out: &mut Vec<Command>) {
         self.announce_report(now, out);
         if self.in_force > self.announced_in_force {
@@ -240,10 +246,10 @@
 
     fn announce_report(&mut self, now: Instant, out: &mut Vec<Command>) {
         let acknowledgement = self.aggregate(now).subtree().acknowledgement;
-        let told = self
+        let announced = self
             .announced_report
-            .map(|told| (told.fingerprint, told.held));
-        if told == Some((acknowledgement.fingerprint, acknowledgement.held)) {
+            .map(|announced| (announced.fingerprint, announced.held));
+        if announced == Some((acknowledgement.fingerprint, acknowledgement.held)) {
             return;
         }
         self.announced_report = Some(acknowledgement);
@@ -258,7 +264,8 @@
         }
     }
 
-    /// Asks a peer for what the node has lacked for a while and was not sent.
+    /// Requests what the node lacks from a peer if it has not been sent for a
+    /// while.
     fn catch_up(&mut self, now: Instant, out: &mut Vec<Command>) {
         let (held, roster) = (self.log.held(), self.roster().through());
         let probe = self.options.probe_timeout;
--- a/crates/spread/src/options.rs
+++ b/crates/spread/src/options.rs
@@ -1,61 +1,64 @@
-//! The times and bounds of a node.
+//! Intervals, time-outs and limits of a node.
 
 use std::time::Duration;
 
 use cactusnotch_derive::record;
 
-/// The times and bounds of a node.
+/// Intervals, time-outs and limits of a node.
 #[record]
 pub struct Options {
-    /// The times of membership.
+    /// The options of membership.
     pub member: cactusnotch_member::Options,
-    /// Over how long the first calls of processes that start together are
-    /// spread.
+    /// The period over which the first calls of processes that start together
+    /// are spread.
     pub start_jitter: Duration,
-    /// How many children a process has in its data centre's tree.
+    /// The number of children of a process in its data centre's tree.
     pub fan_out: usize,
-    /// How many processes of a data centre watch the platform.
+    /// The number of processes of a data centre that watch the platform.
     pub watchers: usize,
-    /// How many random peers of the own data centre a process keeps in touch
-    /// with, beside one elsewhere.
+    /// The number of random peers in its own data centre that a process
+    /// exchanges state with, besides one in another data centre.
     pub contacts: usize,
-    /// How often each child and each other data centre's head is pinged.
+    /// The interval between pings to each child and to the head of each other
+    /// data centre.
     pub ping_interval: Duration,
-    /// How often one of the random peers is pinged.
+    /// The interval between pings to one of the random peers.
     pub exchange_interval: Duration,
-    /// How often the random peers are drawn anew.
+    /// How long a selection of random peers is used before a new one is drawn.
     pub contact_lifetime: Duration,
-    /// After which silence a neighbour is probed through others.
+    /// How long a neighbour may be unresponsive before it is probed through
+    /// other processes.
     pub probe_timeout: Duration,
-    /// After which silence a neighbour is suspected.
+    /// How long a neighbour may be unresponsive before it is suspected.
     pub suspect_timeout: Duration,
-    /// How old an acknowledgement may be when a revision is said to be in
-    /// force. A process restarted during an outage of the platform waits a
-    /// little longer than this before it serves.
+    /// The maximum age of an acknowledgement that counts towards a revision
+    /// being in force. A process restarted during an outage of the platform
+    /// waits a little longer than this before it serves.
     pub acknowledgement_max_age: Duration,
-    /// After which silence of all peers and of the platform a process stops
-    /// taking new work.
+    /// How long all peers and the platform may be unresponsive before a process
+    /// stops accepting new work.
     pub isolation_timeout: Duration,
-    /// How many peers that have caught up a process hears before it serves
+    /// The number of caught-up peers that have to answer before a process serves
     /// while the platform is down, if the roster has that many.
     pub quorum: usize,
-    /// How long a watch waits at the platform.
+    /// How long the platform holds a watch open.
     pub watch_timeout: Duration,
-    /// After how long without an acknowledgement a push is repeated.
+    /// How long to wait for an acknowledgement before a push is repeated.
     pub repeat_interval: Duration,
-    /// After how long a process that peers could not bring up to date reads the
-    /// platform itself.
+    /// How long a process may lag behind its peers before it reads the platform
+    /// itself.
     pub fallback_delay: Duration,
-    /// The largest push that is sent unasked, in bytes.
+    /// The largest push that is sent without a request, in bytes.
     pub push_max: usize,
-    /// The bytes a second for pushes, and for transfers larger than
-    /// [`Options::push_max`].
+    /// The rate limit of pushes, and separately of transfers larger than
+    /// [`Options::push_max`], in bytes per second.
     pub rate: u32,
-    /// The bytes that may be pushed at once after a quiet time.
+    /// The burst size of these rate limits, in bytes.
     pub burst: u32,
-    /// How many revisions and roster changes are kept for repairs.
+    /// The number of revisions, and of roster changes, that are retained for
+    /// repairs.
     pub retained: usize,
-    /// How many processes that lack the newest revision are named.
+    /// The maximum number of laggards that a report lists.
     pub laggards_max: usize,
 }
 
@@ -88,9 +91,10 @@
 }
 
 impl Options {
-    /// Returns how long a process that was restarted while the platform is
-    /// down waits, so that acknowledgements of its earlier life have expired
-    /// on every clock (that may run fast or slow by a fiftieth).
+    /// Returns how long a process that was restarted while the platform is down
+    /// waits before it serves. By then, acknowledgements of its earlier
+    /// incarnation have expired on every clock, even if clocks run fast or slow
+    /// by 1/50.
     #[must_use]
     pub fn quarantine(&self) -> Duration {
         self.acknowledgement_max_age + self.acknowledgement_max_age / 25
--- a/crates/spread/src/relay.rs
+++ b/crates/spread/src/relay.rs
@@ -1,14 +1,14 @@
-//! Pings on behalf of others.
+//! Pings on behalf of other processes.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_base::name::Process;
 
-/// How long a target is listened for on behalf of another.
+/// How long a request waits for a message of its target.
 const OPEN: Duration = Duration::from_secs(2);
 
-/// How many requests are open at once.
+/// The maximum number of open requests.
 const LIMIT: usize = 32;
 
 /// A request to ping a process on behalf of another.
@@ -19,14 +19,14 @@
     since: Instant,
 }
 
-/// Pings on behalf of others that have not been answered.
+/// The requests whose targets have not answered yet.
 #[derive(Debug, Default)]
 pub(crate) struct Relays {
     open: Vec<Relay>,
 }
 
 impl Relays {
-    /// Opens a request and tells whether there was room.
+    /// Opens a request; returns false if the limit of open requests is reached.
     pub(crate) fn open(&mut self, requester: &Process, target: &Process, now: Instant) -> bool {
         self.open
             .retain(|relay| now.saturating_duration_since(relay.since) < OPEN);
@@ -41,8 +41,8 @@
         room
     }
 
-    /// Closes the requests for `target`, which was heard, and returns who
-    /// asked.
+    /// Closes the requests for `target`, which has sent a message, and returns
+    /// their requesters.
     pub(crate) fn close(&mut self, target: &Process, now: Instant) -> Vec<Process> {
         let found = self.open.extract_if(.., |relay| relay.target == *target);
         found
--- a/crates/spread/src/report.rs
+++ b/crates/spread/src/report.rs
@@ -1,4 +1,4 @@
-//! Acknowledgements of many processes as one.
+//! Aggregated acknowledgements of many processes.
 
 use std::time::Duration;
 
@@ -7,23 +7,24 @@
 use cactusnotch_derive::message;
 use cactusnotch_member::Fingerprint;
 
-/// What a set of processes is proved to hold.
+/// An acknowledgement by a set of processes.
 #[message]
 #[derive(Eq, Copy)]
 pub struct Acknowledgement {
-    /// The set, with the incarnation of each process.
+    /// The fingerprint of the set, including the incarnation of each process.
     #[serde(rename = "f")]
     pub fingerprint: Fingerprint,
     /// A revision that each of them holds.
     #[serde(rename = "h")]
     pub held: Sequence,
-    /// How long ago, at most, the first of them was asked, in milliseconds.
+    /// An upper bound of the time since the earliest of them was asked, in
+    /// milliseconds.
     #[serde(rename = "a")]
     pub age_ms: u64,
 }
 
 impl Acknowledgement {
-    /// Joins `other`, which was asked for `elapsed` ago.
+    /// Merges `other`, which was requested `elapsed` ago.
     pub(crate) fn merge(&mut self, other: &Self, elapsed: Duration) {
         self.fingerprint += other.fingerprint;
         self.held = self.held.min(other.held);
@@ -31,14 +32,14 @@
     }
 }
 
-/// Who lacks something.
+/// The origin of a laggard.
 #[message]
 #[derive(Eq)]
 pub enum Place {
     /// A process.
     #[serde(rename = "p")]
     Process(Process),
-    /// A data centre that does not answer as a whole.
+    /// A whole data centre that does not answer.
     #[serde(rename = "d")]
     DataCentre(DataCentre),
 }
@@ -47,23 +48,23 @@
 #[message]
 #[derive(Eq)]
 pub struct Laggard {
-    /// Who lacks it.
+    /// The process or data centre.
     #[serde(rename = "w")]
     pub place: Place,
-    /// The newest revision that it was heard to hold.
+    /// The newest revision that it has reported to hold.
     #[serde(rename = "h")]
     pub held: Sequence,
-    /// For how long it has lacked what others hold, or not answered, in
+    /// How long it has lacked the newest revision or not answered, in
     /// milliseconds.
     #[serde(rename = "s")]
     pub for_ms: u64,
 }
 
-/// What the processes of a subtree, or of a data centre, hold and lack.
+/// The report of a subtree or of a data centre.
 #[message]
 #[derive(Eq)]
 pub struct Report {
-    /// What those that answer are proved to hold.
+    /// The acknowledgement of the processes that answer.
     #[serde(rename = "e")]
     pub acknowledgement: Acknowledgement,
     /// How many lack the newest revision or do not answer.
@@ -75,8 +76,8 @@
 }
 
 impl Report {
-    /// Joins `other`, which was asked for `elapsed` ago, and names no more
-    /// than `named` laggards.
+    /// Merges `other`, which was requested `elapsed` ago, and lists at most
+    /// `named` laggards.
     pub(crate) fn merge(&mut self, other: &Self, elapsed: Duration, named: usize) {
         self.acknowledgement.merge(&other.acknowledgement, elapsed);
         self.lacking += other.lacking;
@@ -85,7 +86,7 @@
         self.laggards.extend(more);
     }
 
-    /// Adds a laggard, named if there is room.
+    /// Counts a laggard, and lists it unless `named` laggards are listed.
     pub(crate) fn add_laggard(&mut self, laggard: Laggard, named: usize) {
         self.lacking += 1;
         if self.laggards.len() < named {
--- a/crates/spread/src/span.rs
+++ b/crates/spread/src/span.rs
@@ -1,4 +1,4 @@
-//! A numbered revision, or several as one.
+//! A numbered revision, or several combined into one.
 
 use bytes::Bytes;
 use cactusnotch_base::number::Sequence;
@@ -7,27 +7,27 @@
 
 use crate::tail::Piece;
 
-/// The bytes that a span takes beside its payload.
+/// The size of a span on the wire besides its payload, in bytes.
 const OVERHEAD: usize = 48;
 
-/// A payload that takes a holder of revision [`Span::after`] or a later one
+/// A payload that advances a holder of revision [`Span::after`] or a later one
 /// to revision [`Span::through`].
 ///
 /// A single revision starts after its predecessor; a snapshot starts after
 /// zero.
 #[message]
 pub struct Span {
-    /// The revision that the holder has to hold already.
+    /// The revision that the receiver must already hold.
     #[serde(rename = "a")]
     pub after: Sequence,
-    /// The revision that the holder holds afterwards.
+    /// The revision that the receiver holds afterwards.
     #[serde(rename = "t")]
     pub through: Sequence,
     /// The version of the platform's store at which revision
     /// [`Span::through`] was written.
     #[serde(rename = "v")]
     pub version: Version,
-    /// What the settings make of it; not looked into here.
+    /// The encoded settings, opaque to this crate.
     #[serde(rename = "p")]
     pub payload: Bytes,
 }
--- a/crates/spread/src/stamp.rs
+++ b/crates/spread/src/stamp.rs
@@ -1,14 +1,14 @@
-//! Numbers that stand for the instants at which pings were sent.
+//! Numbers that encode the times at which pings were sent.
 
 use std::time::Duration;
 
 use cactusnotch_base::clock::Instant;
 
-/// Bits of a stamp that count milliseconds.
+/// The number of bits of a stamp that count milliseconds.
 const MILLIS: u32 = 40;
 
-/// Makes and reads the numbers that stand for the instants at which pings
-/// were sent, so that nothing is kept for an open ping.
+/// Encodes and decodes the times at which pings were sent, which avoids any state
+/// for an open ping.
 #[derive(Debug)]
 pub(crate) struct Stamps {
     start: Instant,
@@ -16,7 +16,8 @@
 }
 
 impl Stamps {
-    /// Creates the stamps of one life; `session` tells it from earlier ones.
+    /// Creates the stamps of one incarnation; `session` distinguishes it from
+    /// earlier ones.
     pub(crate) const fn new(start: Instant, session: u64) -> Self {
         Self {
             start,
@@ -30,8 +31,8 @@
         (self.session << MILLIS) | millis
     }
 
-    /// Returns when `stamp` was made, or a millisecond earlier; `None` if not
-    /// in this life.
+    /// Returns when `stamp` was made, or up to a millisecond earlier; `None` if
+    /// it was not made in this incarnation.
     pub(crate) fn read(&self, stamp: u64, now: Instant) -> Option<Instant> {
         let millis = stamp & ((1 << MILLIS) - 1);
         let made = self.start + Duration::from_millis(millis);
--- a/crates/spread/src/standing.rs
+++ b/crates/spread/src/standing.rs
@@ -7,35 +7,36 @@
 /// Whether a process may serve.
 #[number]
 pub enum Standing {
-    /// It has not learnt the newest revision that it can prove yet, or was
-    /// out of touch and is learning it again. It takes no new work.
+    /// It has not yet confirmed that it holds the newest revision, or was
+    /// isolated and is confirming it again. It accepts no new work.
     #[default]
     Joining,
     /// It serves.
     Serving,
-    /// It finishes what runs and takes no new work.
+    /// It completes running work and accepts no new work.
     Leaving,
-    /// Neither a peer nor the platform was heard for long. It takes no new
-    /// work.
+    /// Neither a peer nor the platform has answered within the isolation
+    /// time-out. It accepts no new work.
     Isolated,
-    /// A later life of the same name is registered. It stops.
+    /// A later incarnation of the same name is registered. It stops.
     Superseded,
 }
 
-/// How far a process has come in learning the newest revision.
+/// The progress of a process in obtaining the newest revision.
 #[record]
 #[derive(Copy)]
 pub(crate) struct Join {
-    /// Only answers to questions asked from then on count.
+    /// Only answers to pings sent from this time on count.
     pub(crate) from: Instant,
-    /// The version of the own record after whose writing the settings were
-    /// read, if they were.
+    /// The version of the process's own record after whose write the settings
+    /// were read, if they were.
     pub(crate) read: Option<Version>,
-    /// The own record's version when the settings were last asked for.
-    pub(crate) asked_after: Option<Version>,
-    /// Whether the process has caught up since it last entered.
+    /// The version of the process's own record when the settings were last
+    /// requested.
+    pub(crate) requested_after: Option<Version>,
+    /// Whether the process has caught up since it last started to join.
     pub(crate) complete: bool,
-    /// Whether the process has caught up at least once in this life.
+    /// Whether the process has caught up at least once since it started.
     pub(crate) caught_up: bool,
 }
 
@@ -44,17 +45,17 @@
         Self {
             from,
             read: None,
-            asked_after: None,
+            requested_after: None,
             complete: false,
             caught_up: false,
         }
     }
 
-    /// Enters anew; only answers to questions asked from `from` on count.
+    /// Restarts the join; only answers to pings sent from `from` on count.
     pub(crate) const fn reset(&mut self, from: Instant) {
         self.from = from;
         self.read = None;
-        self.asked_after = None;
+        self.requested_after = None;
         self.complete = false;
     }
 
--- a/crates/spread/src/tail.rs
+++ b/crates/spread/src/tail.rs
@@ -1,18 +1,18 @@
-//! The latest pieces of a stream, kept for repairs.
+//! The most recent pieces of a stream, retained for repairs.
 
-/// A piece that takes a holder from one number to another.
+/// A piece that advances a holder from one number to another.
 pub(crate) trait Piece {
-    /// Returns the number from which on the piece is complete.
+    /// Returns the number after which the piece is complete.
     fn after(&self) -> u64;
 
     /// Returns the number up to which the piece is complete.
     fn through(&self) -> u64;
 
-    /// Returns the size on the wire, in bytes, roughly.
+    /// Returns the approximate size on the wire, in bytes.
     fn cost(&self) -> usize;
 }
 
-/// The latest pieces of a stream, in order.
+/// The most recent pieces of a stream, in order.
 #[derive(Debug)]
 pub(crate) struct Tail<P> {
     pieces: Vec<P>,
@@ -35,8 +35,8 @@
         self.pieces.push(piece);
     }
 
-    /// Returns the pieces that take a holder of `held` to the newest, or
-    /// `None` if they are no longer all kept.
+    /// Returns the pieces after `held`, or `None` if not all of them are
+    /// retained.
     pub(crate) fn since(&self, held: u64) -> Option<&[P]> {
         let from = self.pieces.partition_point(|piece| piece.through() <= held);
         let missing = &self.pieces[from..];
@@ -47,7 +47,7 @@
     }
 }
 
-/// Returns the size of `pieces` on the wire, in bytes, roughly.
+/// Returns the approximate size of `pieces` on the wire, in bytes.
 pub(crate) fn cost<P: Piece>(pieces: &[P]) -> usize {
     pieces.iter().map(Piece::cost).sum()
 }
--- a/crates/spread/src/topology.rs
+++ b/crates/spread/src/topology.rs
@@ -1,4 +1,4 @@
-//! Who talks to whom.
+//! The peers that a node communicates with.
 
 use cactusnotch_base::name::{DataCentre, Process};
 use cactusnotch_member::{Liveness, Record, Roster, Status, rank};
@@ -7,28 +7,31 @@
 
 use crate::options::Options;
 
-/// Who a node talks to, computed from the roster and from who can be reached.
+/// The peers that a node communicates with, computed from the roster and the
+/// liveness of processes.
 ///
 /// The processes of a data centre form a tree in the order of their ranks;
-/// its root is the head, which talks to the heads of the other data centres.
-/// Nodes whose views differ for a while compute different trees; what that
-/// leaves out is repaired by exchanges with the contacts.
+/// its root is the head, which communicates with the heads of the other data
+/// centres. Nodes whose views differ temporarily compute different trees;
+/// exchanges with the contacts repair what this misses.
 #[derive(Debug, Default)]
 pub(crate) struct Topology {
-    /// The node's rank among those that live, if it is on the roster.
+    /// The node's rank among the live processes, if it is on the roster.
     pub(crate) rank: Option<usize>,
     pub(crate) parent: Option<Process>,
     pub(crate) children: Vec<Process>,
-    /// The dead that follow the node in rank, whom it reports as lacking.
+    /// The dead processes that follow the node in rank, which it reports as
+    /// lacking the newest revision.
     pub(crate) dead_successors: Vec<Process>,
-    /// The first two by rank of each other data centre, for the head.
+    /// The first two live processes by rank of each other data centre; empty
+    /// unless the node is a head.
     pub(crate) heads: Vec<(DataCentre, Vec<Process>)>,
     /// Random peers.
     pub(crate) contacts: Vec<Process>,
 }
 
 impl Topology {
-    /// Computes whom `own` talks to. Contacts are kept as long as they live.
+    /// Computes the topology of `own`. Contacts are kept while they are alive.
     pub(crate) fn compute<R: Rng>(
         own: &Record,
         roster: &Roster,
@@ -64,7 +67,7 @@
         topology
     }
 
-    /// Tells whether the node is the head of its data centre.
+    /// Returns whether the node is the head of its data centre.
     pub(crate) fn is_head(&self) -> bool {
         self.rank == Some(0)
     }
@@ -74,7 +77,7 @@
         self.parent.iter().chain(&self.children)
     }
 
-    /// Returns all whom the node talks to unasked.
+    /// Returns all peers that the node contacts on its own initiative.
     pub(crate) fn links(&self) -> impl Iterator<Item = &Process> {
         let heads = self.heads.iter().flat_map(|(_, heads)| heads);
         self.tree().chain(heads).chain(&self.contacts)
@@ -116,8 +119,8 @@
     }
 }
 
-/// Returns the dead that follow `own` in rank up to the next that lives, and
-/// for the head those before it too.
+/// Returns the dead processes that follow `own` in rank up to the next live one,
+/// and for the head also those before it.
 fn dead_successors(
     order: &[&Record],
     own: &Process,
--- a/crates/spread/src/watch.rs
+++ b/crates/spread/src/watch.rs
@@ -1,4 +1,4 @@
-//! The calls to the platform that a node has open.
+//! The open calls of a node to the platform.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::command::{Call, Command, Ticket};
 
-/// The shortest time between two calls of the same purpose.
+/// The minimum interval between two calls of the same purpose.
 const CALL_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What a call is for. At most one call is open for each.
+/// The purpose of a call. At most one call is open for each purpose.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Purpose {
     /// To wait for revisions.
@@ -23,25 +23,25 @@
     ReadSettings,
     /// To read changes of the roster at once.
     ReadMembers,
-    /// To read or write the own record.
+    /// To read or write the process's own record.
     Own,
     /// To delete an expired record.
     Expire,
 }
 
-/// What has to be read at once, since a watch or a peer told of it.
+/// State that is stale, as indicated by a watch or a peer, and has to be read.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Stale {
-    /// Revisions in between are missing, so that only a snapshot leads on.
+    /// Intermediate revisions are missing; a snapshot is needed.
     pub(crate) settings: bool,
     /// The roster has changed.
     pub(crate) members: bool,
-    /// When to read, since peers hold more for long and could not bring this
-    /// process up to date.
+    /// When to read the platform, since peers hold more and have failed to bring
+    /// this process up to date.
     pub(crate) fallback_at: Option<Instant>,
 }
 
-/// The calls to the platform that a node has open, with their pauses.
+/// The open calls of a node to the platform, with their back-off.
 #[derive(Debug)]
 pub(crate) struct Calls {
     open: Table<Ticket, Purpose>,
@@ -62,15 +62,15 @@
         }
     }
 
-    /// Tells whether a call for `purpose` may be made at `now`.
+    /// Returns whether a call for `purpose` may be made at `now`.
     pub(crate) fn free(&self, purpose: Purpose, now: Instant) -> bool {
         let open = self.open.values().any(|other| *other == purpose);
         let paced = self.paced.get(&purpose).is_some_and(|until| now < *until);
-        // The own record has pauses of its own.
+        // Calls for the own record have a separate back-off.
         !open && !paced && (purpose == Purpose::Own || self.backoff.ready(now))
     }
 
-    /// Makes the call.
+    /// Opens a call.
     pub(crate) fn make(&mut self, purpose: Purpose, call: Call, now: Instant) -> Command {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
@@ -85,18 +85,18 @@
         self.open.remove(&ticket)
     }
 
-    /// Notes that the platform answered.
+    /// Records that the platform answered.
     pub(crate) const fn succeed(&mut self, now: Instant) {
         self.answered = Some(now);
         self.backoff.succeed();
     }
 
-    /// Notes that a call failed.
+    /// Records that a call failed.
     pub(crate) fn fail<R: Rng>(&mut self, now: Instant, rng: &mut R) {
         self.backoff.fail(now, rng);
     }
 
-    /// Holds the next calls back by up to `spread`.
+    /// Delays the next calls by a random time of up to `spread`.
     pub(crate) fn delay<R: Rng>(&mut self, now: Instant, spread: Duration, rng: &mut R) {
         self.backoff.delay(now, spread, rng);
     }
--- a/crates/spread/tests/common/bench.rs
+++ b/crates/spread/tests/common/bench.rs
@@ -1,4 +1,4 @@
-//! One node, with its peers and the platform played by the test.
+//! One node whose peers and platform are simulated by the test.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -62,7 +62,7 @@
             ],
             removed: Vec::new(),
         };
-        bench.members(delta);
+        bench.answer_read(delta);
         assert_eq!(bench.node.standing(bench.now), Standing::Serving);
         bench
     }
@@ -81,8 +81,8 @@
         }
     }
 
-    /// Lets time pass, answers for the own record and settings, and keeps a
-    /// read of the roster open.
+    /// Advances the clock, answers calls for the own record and the settings, and
+    /// leaves reads of the roster open.
     pub fn wait(&mut self, time: Duration) {
         let until = self.now + time;
         while self.now < until {
@@ -99,13 +99,13 @@
                     message: Message::Ping(ping),
                     ..
                 } => self.stamp = ping.stamp,
-                Command::Call { ticket, call } => self.called(ticket, &call),
+                Command::Call { ticket, call } => self.answer_call(ticket, &call),
                 _ => {}
             }
         }
     }
 
-    fn called(&mut self, ticket: Ticket, call: &Call) {
+    fn answer_call(&mut self, ticket: Ticket, call: &Call) {
         let answer = match call {
             _ if self.down => Answer::Unanswered,
             Call::Own(OwnCall::Find) => Answer::Own(Own::Found(None)),
@@ -125,21 +125,21 @@
         self.carry_out(commands);
     }
 
-    pub fn members(&mut self, delta: Delta) {
+    pub fn answer_read(&mut self, delta: Delta) {
         let ticket = self.read.take().expect("the roster is being read");
         let answer = Answer::Members(delta);
         let commands = self.node.on_answer(ticket, answer, self.now);
         self.carry_out(commands);
     }
 
-    /// Hands in a message of `from`.
-    pub fn hear(&mut self, from: &str, message: Message) {
+    /// Delivers a message of `from`.
+    pub fn deliver(&mut self, from: &str, message: Message) {
         let commands = self.node.on_message(&from.into(), message, self.now);
         self.carry_out(commands);
     }
 
-    /// Ends the watch of the roster.
-    pub fn watched(&mut self, delta: Delta) {
+    /// Answers the watch of the roster.
+    pub fn answer_watch(&mut self, delta: Delta) {
         let ticket = self.watch.take().expect("the roster is watched");
         let answer = Answer::Members(delta);
         let commands = self.node.on_answer(ticket, answer, self.now);
@@ -157,7 +157,8 @@
         self.carry_out(commands);
     }
 
-    /// The agent acknowledges revision one, as asked by `stamp`.
+    /// Delivers the agent's acknowledgement of revision one, in answer to the ping
+    /// with `stamp`.
     pub fn acknowledge(&mut self, stamp: u64, incarnation: u64) {
         let fingerprint = Fingerprint::of(&"agent".into(), Incarnation(incarnation));
         let acknowledgement = Acknowledgement {
@@ -180,7 +181,7 @@
                 laggards: Vec::new(),
             }),
         };
-        self.hear("agent", Message::Pong(pong));
+        self.deliver("agent", Message::Pong(pong));
     }
 
     pub fn in_force(&mut self) -> u64 {
--- a/crates/spread/tests/common/due.rs
+++ b/crates/spread/tests/common/due.rs
@@ -1,4 +1,4 @@
-//! What is due, and when.
+//! Scheduled events of the simulation.
 
 use cactusnotch_spread::{Answer, Call, Message, Ticket};
 
--- a/crates/spread/tests/common/mod.rs
+++ b/crates/spread/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Many nodes in one process and in virtual time: a network that delays,
-//! loses, repeats and cuts, and a platform that can be down or forget to
+//! Simulation of many nodes in one process and in virtual time. The network
+//! delays, drops, duplicates and partitions; the platform can be down or fail to
 //! answer.
 #![allow(dead_code, reason = "each test and example uses a part")]
 
@@ -32,23 +32,24 @@
 const TICK: Micros = 100_000;
 const TIMEOUT: Micros = 2 * SECOND;
 
-/// How the network behaves.
+/// The faults of the network.
 #[derive(Debug, Clone, Default)]
 pub struct Network {
     pub loss: f64,
     pub repeat: f64,
     pub late: f64,
-    /// Processes of different sides do not reach one another.
+    /// The side of each process; processes on different sides cannot reach each
+    /// other.
     pub side: Vec<u8>,
 }
 
-/// What one process cost.
+/// The cost of one process.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Cost {
     pub sent: u64,
     pub received: u64,
     pub messages: u64,
-    /// Processor time of the thread.
+    /// Processor time of the state machine.
     pub decisions: Duration,
     pub codec: Duration,
 }
@@ -71,7 +72,7 @@
     pub cost: Cost,
 }
 
-/// Many nodes in virtual time.
+/// A simulation of many nodes in virtual time.
 pub struct World {
     pub base: Instant,
     pub now: Micros,
@@ -80,8 +81,8 @@
     pub slots: Vec<Slot>,
     pub network: Network,
     pub platform: Platform,
-    /// Whether processes get messages as they were decoded, rather than
-    /// sharing parts of them.
+    /// Whether processes receive decoded messages rather than clones that share
+    /// memory with the sender's.
     pub round_trip: bool,
     /// Whether processor time is measured.
     pub measured: bool,
@@ -147,7 +148,7 @@
         *self.names.get(process).expect("a known process")
     }
 
-    /// Starts a fresh life of a process; its wall clock may be wrong.
+    /// Starts a new incarnation of a process; its wall clock may be wrong.
     pub fn start(&mut self, at: usize) {
         let (now, seed) = (self.instant(), self.rng.random());
         let wall = self.now / 1000 + self.rng.random_range(0..5);
@@ -176,7 +177,7 @@
         self.schedule(first, at, Event::Tick);
     }
 
-    /// Lets a process that was put into a slot go on.
+    /// Resumes a process that was placed in a slot.
     pub fn resume(&mut self, at: usize) {
         self.schedule(self.now, at, Event::Tick);
     }
@@ -198,7 +199,8 @@
         }));
     }
 
-    /// Writes a revision at the platform; entry `by` may learn of it at once.
+    /// Writes a revision at the platform; process `by`, if any, applies it at
+    /// once.
     pub fn edit(&mut self, payload: usize, by: Option<usize>) -> Option<Span> {
         let span = self.platform.edit(payload)?;
         self.wake();
@@ -245,7 +247,7 @@
             return;
         }
         if slot.paused_until > self.now {
-            // A paused process finds what came in between when it resumes.
+            // A paused process handles pending events when it resumes.
             let resumed = slot.paused_until;
             self.order += 1;
             let order = self.order;
@@ -286,7 +288,7 @@
             match command {
                 Command::Send { to, message } => self.send(at, &to, message),
                 Command::Call { ticket, call } => {
-                    self.platform.counted(self.now, &call);
+                    self.platform.count_call(self.now, &call);
                     let arrival = self.now + self.rng.random_range(500..2_000);
                     self.schedule(arrival, at, Event::Call(ticket, call));
                 }
@@ -366,7 +368,7 @@
         }
     }
 
-    /// Answers the watches that have something to tell or have waited enough.
+    /// Answers the watches that have changes to return or have timed out.
     fn wake(&mut self) {
         for (at, instance, ticket, answer) in self.platform.woken(self.now, &mut self.rng) {
             self.reply(at, instance, ticket, answer);
--- a/crates/spread/tests/common/platform.rs
+++ b/crates/spread/tests/common/platform.rs
@@ -1,4 +1,4 @@
-//! A platform in memory.
+//! An in-memory platform.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,19 +23,20 @@
     until: Micros,
 }
 
-/// A platform in memory, which can be down and forget to answer.
+/// An in-memory platform that can be down or fail to answer.
 #[derive(Debug, Default)]
 pub struct Platform {
     pub down: bool,
-    /// The processes that do not reach it are those of side one, if not empty.
+    /// The side of each process; those on side 1 cannot reach the platform. Empty
+    /// if all reach it.
     pub cut: Vec<u8>,
     pub forgets: f64,
-    /// How often a watch leaves out a change, or brings old ones again.
+    /// The probability that a watch omits a change or returns old ones again.
     pub skips: f64,
     pub version: u64,
     pub members: Table<Process, Row>,
     pub revisions: Vec<Span>,
-    /// Calls begun in each second, and those refused while it was down.
+    /// The calls started in each second, and those rejected during an outage.
     pub calls: Vec<u32>,
     pub calls_down: Vec<u32>,
     pub writes: u64,
@@ -45,7 +46,7 @@
 
 impl Platform {
     /// Counts a call that begins.
-    pub fn counted(&mut self, now: Micros, _call: &Call) {
+    pub fn count_call(&mut self, now: Micros, _call: &Call) {
         let second = usize::try_from(now / SECOND).expect("a short run");
         if self.calls.len() <= second {
             self.calls.resize(second + 1, 0);
@@ -77,7 +78,7 @@
         Some(span)
     }
 
-    /// Puts a member on the roster without a call, as if long ago.
+    /// Adds a member to the roster without a call.
     pub fn enrol(&mut self, record: Record) {
         self.version += 1;
         let row = Row {
@@ -87,7 +88,7 @@
         self.members.insert(row.record.process.clone(), row);
     }
 
-    /// Serves a call, or keeps it waiting.
+    /// Answers a call, or queues it as a watch.
     pub fn call(
         &mut self,
         now: Micros,
@@ -102,7 +103,7 @@
         match call {
             Call::Settings { after, wait } | Call::Members { after, wait } => {
                 let answer = self.read(call, *after);
-                if *wait == Duration::ZERO || has_news(&answer) {
+                if *wait == Duration::ZERO || has_changes(&answer) {
                     return Some(answer);
                 }
                 let until = now + u64::try_from(wait.as_micros()).expect("a short wait");
@@ -116,7 +117,7 @@
                 None
             }
             Call::Own(registration::Call::Find) => {
-                // The caller's name is that of its slot; see `find`.
+                // The caller is identified by its slot; see `find`.
                 Some(Answer::Own(registration::Answer::Found(self.find(at))))
             }
             Call::Own(registration::Call::Put(record, condition)) => {
@@ -188,7 +189,7 @@
         })
     }
 
-    /// Returns the answers to the watches that are over.
+    /// Returns the answers to the watches that are complete.
     pub fn woken<R: Rng>(&mut self, now: Micros, rng: &mut R) -> Vec<(usize, u64, Ticket, Answer)> {
         let mut woken = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
@@ -201,9 +202,9 @@
             } else {
                 self.read(&waiting.call, *after)
             };
-            if lost || has_news(&answer) || now >= waiting.until {
+            if lost || has_changes(&answer) || now >= waiting.until {
                 let answer = if rng.random_bool(self.skips) {
-                    self.garbled(&waiting.call, answer, rng)
+                    self.distort(&waiting.call, answer, rng)
                 } else {
                     answer
                 };
@@ -217,8 +218,8 @@
 }
 
 impl Platform {
-    /// Leaves one change out of `answer`, or brings all changes again.
-    fn garbled<R: Rng>(&self, call: &Call, mut answer: Answer, rng: &mut R) -> Answer {
+    /// Omits one change from `answer`, or returns all changes again.
+    fn distort<R: Rng>(&self, call: &Call, mut answer: Answer, rng: &mut R) -> Answer {
         if rng.random_bool(0.5) {
             return self.read(call, Version(0));
         }
@@ -235,7 +236,7 @@
     }
 }
 
-fn has_news(answer: &Answer) -> bool {
+fn has_changes(answer: &Answer) -> bool {
     match answer {
         Answer::Settings(spans) => !spans.is_empty(),
         Answer::Members(delta) => !delta.is_empty(),
--- a/crates/spread/tests/common/shape.rs
+++ b/crates/spread/tests/common/shape.rs
@@ -1,10 +1,10 @@
-//! Where the processes are.
+//! The placement of processes.
 
 use cactusnotch_base::name::Process;
 use cactusnotch_base::number::Incarnation;
 use cactusnotch_member::{Record, Role, State};
 
-/// Where the processes are.
+/// The placement of processes.
 #[derive(Debug, Clone)]
 pub struct Shape {
     pub regions: usize,
--- a/crates/spread/tests/convergence.rs
+++ b/crates/spread/tests/convergence.rs
@@ -1,4 +1,4 @@
-//! Revisions under loss, cuts, restarts, pauses and outages.
+//! Revisions under packet loss, partitions, restarts, pauses and outages.
 
 mod common;
 
@@ -16,27 +16,27 @@
     agents: 9,
 };
 
-/// The checks that hold at every instant.
+/// Invariants that are checked throughout a run.
 #[derive(Default)]
 struct Checks {
-    proved: Sequence,
+    confirmed: Sequence,
     last_held: Vec<(u64, Sequence)>,
 }
 
 impl Checks {
     fn new() -> Self {
         Self {
-            proved: Sequence(0),
+            confirmed: Sequence(0),
             last_held: vec![(0, Sequence(0)); SHAPE.entries + SHAPE.agents],
         }
     }
 
-    /// A revision said to be in force is held by every process that serves,
-    /// and no process goes back.
+    /// Checks that every serving process holds each revision reported to be in
+    /// force, and that no process reverts to an earlier revision.
     fn check(&mut self, world: &World) -> Result<(), TestCaseError> {
         for slot in &world.slots {
-            let proved = slot.node.as_ref().map(Node::in_force);
-            self.proved = self.proved.max(proved.unwrap_or_default());
+            let confirmed = slot.node.as_ref().map(Node::in_force);
+            self.confirmed = self.confirmed.max(confirmed.unwrap_or_default());
         }
         for (at, slot) in world.slots.iter().enumerate() {
             let Some(node) = &slot.node else { continue };
@@ -53,14 +53,14 @@
                 "{at} applied out of order"
             );
             prop_assert_eq!(slot.applied.last().map_or(Sequence(0), |s| s.through), held);
-            let acts = node.standing(world.instant()) == Standing::Serving;
+            let serving = node.standing(world.instant()) == Standing::Serving;
             let listed = world.platform.members.contains(&slot.record.process);
             let running = slot.paused_until <= world.now;
             prop_assert!(
-                !(acts && listed && running) || held >= self.proved,
+                !(serving && listed && running) || held >= self.confirmed,
                 "{} serves {held} while {} is said to be in force, at {} us",
                 slot.record.process,
-                self.proved,
+                self.confirmed,
                 world.now
             );
         }
@@ -77,8 +77,8 @@
     world
 }
 
-/// Does something bad, or mends something, once in a while.
-fn disturb(world: &mut World) {
+/// Injects or repairs a random fault, or writes a revision.
+fn inject_fault(world: &mut World) {
     let count = world.slots.len();
     let at = world.rng.random_range(0..count);
     match world.rng.random_range(0..25) {
@@ -93,7 +93,7 @@
         10 => world.slots[at].paused_until = world.now + world.rng.random_range(1..30) * SECOND,
         11 => world.stop(at),
         12..15 => {
-            // Restarted in place, at once.
+            // An immediate restart in place.
             world.stop(at);
             world.start(at);
         }
@@ -127,7 +127,7 @@
     }
 }
 
-fn mend(world: &mut World) {
+fn repair(world: &mut World) {
     let side = vec![0; world.slots.len()];
     world.network = Network {
         side,
@@ -179,12 +179,12 @@
         for _ in 0..160 {
             let next = world.now + world.rng.random_range(1..3 * SECOND);
             world.run(next, |world| checks.check(world))?;
-            disturb(&mut world);
+            inject_fault(&mut world);
         }
-        mend(&mut world);
+        repair(&mut world);
         world.edit(200, None);
-        let rest = world.now + 60 * SECOND;
-        world.run(rest, |world| checks.check(world))?;
+        let until = world.now + 60 * SECOND;
+        world.run(until, |world| checks.check(world))?;
         all_agree(&world)?;
     }
 }
--- a/crates/spread/tests/entrance.rs
+++ b/crates/spread/tests/entrance.rs
@@ -1,4 +1,4 @@
-//! What lets a process serve, and what it reads.
+//! The conditions under which a process serves, and its reads of the platform.
 
 mod common;
 
@@ -23,7 +23,7 @@
         summary,
         report: None,
     };
-    bench.hear(from, Message::Pong(pong));
+    bench.deliver(from, Message::Pong(pong));
 }
 
 fn span(after: u64, through: u64) -> Message {
@@ -35,8 +35,8 @@
     })
 }
 
-/// Returns a head that was restarted while the platform is down, has waited
-/// long enough and knows the roster.
+/// Returns a head that was restarted while the platform is down, has waited out
+/// the quarantine and holds the roster.
 fn restarted() -> Bench {
     let mut bench = Bench::fresh(true);
     let delta = Delta {
@@ -47,7 +47,7 @@
             .into(),
         removed: Vec::new(),
     };
-    bench.hear("b", Message::Delta(delta));
+    bench.deliver("b", Message::Delta(delta));
     bench.wait(Duration::from_secs(20));
     bench
 }
@@ -71,9 +71,9 @@
     let mut bench = restarted();
     pong(&mut bench, "b", 1, true);
     pong(&mut bench, "c", 2, true);
-    bench.hear("b", span(0, 1));
+    bench.deliver("b", span(0, 1));
     assert_eq!(bench.node.standing(bench.now), Standing::Joining);
-    bench.hear("c", span(1, 2));
+    bench.deliver("c", span(1, 2));
     assert_eq!(bench.node.standing(bench.now), Standing::Serving);
 }
 
@@ -85,7 +85,7 @@
     assert_eq!(bench.node.standing(bench.now), Standing::Serving);
     bench.wait(Duration::from_secs(16));
     assert_eq!(bench.node.standing(bench.now), Standing::Isolated);
-    bench.hear("d", Message::Relay("b".into()));
+    bench.deliver("d", Message::Relay("b".into()));
     bench.wait(Duration::from_secs(10));
     assert_eq!(bench.node.standing(bench.now), Standing::Joining);
 }
@@ -94,15 +94,15 @@
 fn a_change_that_a_watch_skipped_is_read() {
     let mut bench = Bench::new();
     bench.wait(Duration::from_secs(2));
-    // Row 18 is left out.
-    bench.watched(Delta {
+    // The watch omits the row of version 18.
+    bench.answer_watch(Delta {
         after: Version(10),
         through: Version(20),
         rows: vec![row("b", Role::Agent, 1, 15)],
         removed: Vec::new(),
     });
     bench.wait(Duration::from_secs(1));
-    bench.members(Delta {
+    bench.answer_read(Delta {
         after: Version(10),
         through: Version(21),
         rows: vec![row("b", Role::Agent, 1, 15), row("c", Role::Agent, 1, 18)],
--- a/crates/spread/tests/proof.rs
+++ b/crates/spread/tests/proof.rs
@@ -1,4 +1,4 @@
-//! What proves to a head that a revision is in force.
+//! The conditions under which a head confirms that a revision is in force.
 
 mod common;
 
@@ -8,15 +8,15 @@
 use cactusnotch_objects::object::Version;
 use common::bench::{Bench, row};
 
-const OLD: Duration = Duration::from_secs(16);
-const MOMENT: Duration = Duration::from_millis(1_500);
+const EXPIRY: Duration = Duration::from_secs(16);
+const SHORT: Duration = Duration::from_millis(1_500);
 
 #[test]
 fn an_acknowledgement_proves_for_a_while_only() {
     let mut bench = Bench::new();
-    bench.wait(MOMENT);
+    bench.wait(SHORT);
     bench.acknowledge(bench.stamp, 2);
-    bench.wait(OLD);
+    bench.wait(EXPIRY);
     bench.accept(5);
     assert_eq!(bench.in_force(), 0);
     bench.acknowledge(bench.stamp, 2);
@@ -26,9 +26,9 @@
 #[test]
 fn a_late_acknowledgement_counts_from_when_it_was_asked_for() {
     let mut bench = Bench::new();
-    bench.wait(MOMENT);
+    bench.wait(SHORT);
     let stamp = bench.stamp;
-    bench.wait(OLD);
+    bench.wait(EXPIRY);
     bench.accept(5);
     bench.acknowledge(stamp, 2);
     assert_eq!(bench.in_force(), 0);
@@ -37,7 +37,7 @@
 #[test]
 fn an_acknowledgement_of_an_earlier_life_proves_nothing() {
     let mut bench = Bench::new();
-    bench.wait(MOMENT);
+    bench.wait(SHORT);
     bench.accept(5);
     bench.acknowledge(bench.stamp, 1);
     assert_eq!(bench.in_force(), 0);
@@ -47,11 +47,11 @@
 fn a_revision_written_after_the_roster_was_read_waits_until_it_is_read_again() {
     let mut bench = Bench::new();
     bench.accept(20);
-    bench.wait(MOMENT);
+    bench.wait(SHORT);
     bench.acknowledge(bench.stamp, 2);
     assert_eq!(bench.in_force(), 0);
-    // Somebody joined before the revision was written.
-    bench.members(Delta {
+    // Another process joined before the revision was written.
+    bench.answer_read(Delta {
         after: Version(10),
         through: Version(20),
         rows: vec![row("late", Role::Agent, 1, 15)],
@@ -65,9 +65,9 @@
 fn a_revision_is_in_force_once_the_roster_is_confirmed() {
     let mut bench = Bench::new();
     bench.accept(20);
-    bench.wait(MOMENT);
+    bench.wait(SHORT);
     bench.acknowledge(bench.stamp, 2);
-    bench.members(Delta {
+    bench.answer_read(Delta {
         after: Version(10),
         through: Version(20),
         ..Delta::default()
--- a/crates/spread/tests/scenarios.rs
+++ b/crates/spread/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! Single faults, each with what operators are promised about it.
+//! Single faults, each with its documented effect for operators.
 
 mod common;
 
@@ -24,7 +24,7 @@
         .expect("nothing is checked");
 }
 
-/// Returns a world in which all serve and one revision is in force.
+/// Returns a world in which all processes serve and one revision is in force.
 fn settled() -> World {
     settled_with(Options::default())
 }
@@ -53,7 +53,7 @@
     node(world, at).standing(world.instant())
 }
 
-/// Cuts the processes of a region or data centre off.
+/// Partitions the processes of a region or data centre from all others.
 fn cut(world: &mut World, place: &str) {
     for at in 0..world.slots.len() {
         let record = &world.slots[at].record;
@@ -66,7 +66,7 @@
 fn a_cut_off_region_serves_on_and_is_reported_with_since_when() {
     let mut world = settled();
     cut(&mut world, "region-1");
-    // The platform is on the other side.
+    // The platform is on the other side of the partition.
     world.platform.cut = world.network.side.clone();
     run(&mut world, 5);
     world.edit(300, None);
@@ -78,12 +78,12 @@
         assert_eq!(status.held, Sequence(if inside { 1 } else { 2 }));
         assert_eq!(status.in_force, Sequence(1));
         if !inside {
-            let silent = status.laggards.iter().filter(|laggard| {
+            let unresponsive = status.laggards.iter().filter(|laggard| {
                 let named = matches!(&laggard.place, Place::DataCentre(name)
                     if ["dc-1", "dc-3"].contains(&name.as_str()));
                 named && (120_000..130_000).contains(&laggard.for_ms)
             });
-            assert_eq!(silent.count(), 2, "{:?}", status.laggards);
+            assert_eq!(unresponsive.count(), 2, "{:?}", status.laggards);
         }
     }
     assert_eq!(world.platform.members.len(), 24, "nobody is taken off");
@@ -131,7 +131,7 @@
 
 #[test]
 fn a_process_restarted_while_the_platform_is_down_takes_the_newest_from_peers() {
-    // The roster and the revisions are too large to be sent unasked.
+    // The roster and the revisions are too large to be pushed.
     let mut world = settled_with(Options {
         push_max: 100,
         ..Options::default()
@@ -183,7 +183,7 @@
     run(&mut world, 20);
     world.edit(300, None);
     run(&mut world, 19);
-    // Asked by its own clock just before anything reaches it.
+    // The standing by its own clock just before any message arrives.
     let resumed = world.instant() + Duration::from_secs(1);
     assert_eq!(node(&world, 5).standing(resumed), Standing::Isolated);
     run(&mut world, 15);
@@ -198,7 +198,7 @@
     world.start(2);
     run(&mut world, 15);
     assert_eq!(standing(&world, 2), Standing::Serving);
-    // The first one comes back, as after a long pause, and its clock goes on.
+    // The first one resumes, as after a long pause, with its own clock.
     let second = world.slots[2].node.replace(first).expect("it is up");
     let incarnation = second.record().incarnation;
     assert!(incarnation > node(&world, 2).record().incarnation);
