--- a/crates/node/src/courier.rs
+++ b/crates/node/src/courier.rs
@@ -83,7 +83,7 @@
                     return;
                 }
             }
-            received = receiver.recv() => match received {
+            incoming = receiver.recv() => match incoming {
                 Some(Ok(_)) => {}
                 Some(Err(_)) | None => return,
             },
--- a/crates/settings/src/check.rs
+++ b/crates/settings/src/check.rs
@@ -80,7 +80,7 @@
         return;
     };
     let (_, above) = index.rows()[above];
-    if !above.kind.holds(node.kind) {
+    if !above.kind.may_contain(node.kind) {
         faults.push(Error::Placement {
             node: id.clone(),
             kind: node.kind,
@@ -88,7 +88,7 @@
             parent_kind: above.kind,
         });
     }
-    if index.is_below_itself(at) {
+    if index.is_own_ancestor(at) {
         faults.push(Error::Cycle { node: id.clone() });
     }
 }
@@ -163,7 +163,7 @@
 /// whichever is larger; a policy and the root need the sum of those below.
 fn check_floors(index: &Index<'_>, floor: Key, limit: Key, faults: &mut Vec<Error>) {
     let mut below = vec![0; index.rows().len()];
-    for at in index.lowest_first() {
+    for at in index.deepest_first() {
         let (id, node) = index.rows()[at];
         let needed = match node.kind {
             Kind::ModelGroup => continue,
--- a/crates/settings/src/index.rs
+++ b/crates/settings/src/index.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns whether the node is its own ancestor.
-    pub(crate) fn is_below_itself(&self, at: usize) -> bool {
+    pub(crate) fn is_own_ancestor(&self, at: usize) -> bool {
         self.ancestors(at)
             .skip(1)
             .take(self.rows.len())
@@ -42,7 +42,7 @@
 
     /// Returns the positions, the deepest nodes first. The nodes must not form
     /// a cycle.
-    pub(crate) fn lowest_first(&self) -> Vec<usize> {
+    pub(crate) fn deepest_first(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.rows.len()).collect();
         order.sort_by_cached_key(|&at| Reverse(self.ancestors(at).count()));
         order
--- a/crates/settings/src/kind.rs
+++ b/crates/settings/src/kind.rs
@@ -33,7 +33,7 @@
 
     /// Returns whether a node of kind `child` may be a child of this kind.
     #[must_use]
-    pub const fn holds(self, child: Self) -> bool {
+    pub const fn may_contain(self, child: Self) -> bool {
         match self {
             Self::Root | Self::Policy => !matches!(child, Self::Root),
             Self::Organisation => matches!(child, Self::Organisation),
--- a/crates/spread/src/aggregate.rs
+++ b/crates/spread/src/aggregate.rs
@@ -59,8 +59,8 @@
         let Some(peer) = self.peers.get(child) else {
             return;
         };
-        if let Some((sub, elapsed)) = self.fresh(peer) {
-            report.merge(sub, elapsed, self.options.laggards_max);
+        if let Some((child_report, elapsed)) = self.fresh(peer) {
+            report.merge(child_report, elapsed, self.options.laggards_max);
         }
         let behind = peer
             .behind_since
@@ -141,13 +141,16 @@
         for (name, _) in self.journal.roster().data_centres() {
             match self.data_centre(name) {
                 Some((report, elapsed)) => total.merge(&report, elapsed, self.options.laggards_max),
-                None => total.add_laggard(self.unresponsive(name), self.options.laggards_max),
+                None => total.add_laggard(
+                    self.unresponsive_data_centre(name),
+                    self.options.laggards_max,
+                ),
             }
         }
         (total.lacking, total.laggards)
     }
 
-    fn unresponsive(&self, name: &DataCentre) -> Laggard {
+    fn unresponsive_data_centre(&self, name: &DataCentre) -> Laggard {
         let found = self.topology.heads.iter().find(|(of, _)| of == name);
         let heads = found.map_or(&[][..], |(_, heads)| heads);
         let peers = || heads.iter().filter_map(|head| self.peers.get(head));
--- a/crates/spread/src/node/platform.rs
+++ b/crates/spread/src/node/platform.rs
@@ -37,7 +37,7 @@
             Answer::Expired => self.calls.succeed(now),
             Answer::Own(_) | Answer::Unanswered => self.calls.fail(now, &mut self.rng),
         }
-        self.call(now, &mut out);
+        self.make_calls(now, &mut out);
         self.try_join(now);
         out
     }
@@ -98,7 +98,7 @@
     }
 
     /// Makes the calls that are due.
-    pub(super) fn call(&mut self, now: Instant, out: &mut Vec<Command>) {
+    pub(super) fn make_calls(&mut self, now: Instant, out: &mut Vec<Command>) {
         self.call_for_own(now, out);
         if self.watches() {
             self.watch(now, out);
@@ -110,25 +110,25 @@
     }
 
     fn call_for_own(&mut self, now: Instant, out: &mut Vec<Command>) {
-        if self.superseded || !self.calls.free(Purpose::Own, now) {
+        if self.superseded || !self.calls.may_call(Purpose::Own, now) {
             return;
         }
         if let Some(call) = self.registration.poll(now) {
-            out.push(self.calls.make(Purpose::Own, Call::Own(call), now));
+            out.push(self.calls.open_call(Purpose::Own, Call::Own(call), now));
         }
     }
 
     fn watch(&mut self, now: Instant, out: &mut Vec<Command>) {
         let wait = self.options.watch_timeout;
-        if self.calls.free(Purpose::WatchSettings, now) {
+        if self.calls.may_call(Purpose::WatchSettings, now) {
             let after = self.log.version();
             let call = Call::Settings { after, wait };
-            out.push(self.calls.make(Purpose::WatchSettings, call, now));
+            out.push(self.calls.open_call(Purpose::WatchSettings, call, now));
         }
-        if self.calls.free(Purpose::WatchMembers, now) {
+        if self.calls.may_call(Purpose::WatchMembers, now) {
             let after = self.roster().confirmed();
             let call = Call::Members { after, wait };
-            out.push(self.calls.make(Purpose::WatchMembers, call, now));
+            out.push(self.calls.open_call(Purpose::WatchMembers, call, now));
         }
     }
 
@@ -150,7 +150,7 @@
         let entering = !self.join.complete && registered.is_some();
         let unread = entering && self.join.read != registered;
         let wanted = unread || self.stale.settings || (late && self.log.held() < self.newest);
-        if !wanted || !self.calls.free(Purpose::ReadSettings, now) {
+        if !wanted || !self.calls.may_call(Purpose::ReadSettings, now) {
             return;
         }
         self.join.requested_after = registered;
@@ -161,7 +161,7 @@
         };
         let wait = Duration::ZERO;
         let call = Call::Settings { after, wait };
-        out.push(self.calls.make(Purpose::ReadSettings, call, now));
+        out.push(self.calls.open_call(Purpose::ReadSettings, call, now));
     }
 
     fn read_members(&mut self, late: bool, now: Instant, out: &mut Vec<Command>) {
@@ -170,17 +170,17 @@
         let entering = !self.join.complete && registered > Some(after);
         let unconfirmed = self.topology.is_head() && self.log.version() > after;
         let wanted = entering || unconfirmed || late || self.stale.members;
-        if wanted && self.calls.free(Purpose::ReadMembers, now) {
+        if wanted && self.calls.may_call(Purpose::ReadMembers, now) {
             let wait = Duration::ZERO;
             let call = Call::Members { after, wait };
-            out.push(self.calls.make(Purpose::ReadMembers, call, now));
+            out.push(self.calls.open_call(Purpose::ReadMembers, call, now));
         }
     }
 
     /// Removes a process that has been dead for the expiry time from the roster.
     /// This does not affect any lease that it holds.
     fn expire(&mut self, now: Instant, out: &mut Vec<Command>) {
-        if !self.calls.free(Purpose::Expire, now) {
+        if !self.calls.may_call(Purpose::Expire, now) {
             return;
         }
         let data_centre = &self.registration.record().data_centre;
@@ -191,6 +191,6 @@
             process: row.record.process.clone(),
             version: row.version,
         };
-        out.push(self.calls.make(Purpose::Expire, call, now));
+        out.push(self.calls.open_call(Purpose::Expire, call, now));
     }
 }
--- a/crates/spread/src/node/receive.rs
+++ b/crates/spread/src/node/receive.rs
@@ -50,7 +50,7 @@
 
     fn on_ping(&mut self, from: &Process, ping: Ping, now: Instant, out: &mut Vec<Command>) {
         self.apply_summary(from, &ping.summary, now);
-        self.peer(from, now).asked = Some(ping.stamp);
+        self.peer(from, now).last_stamp = Some(ping.stamp);
         if self.topology.parent.as_ref() == Some(from) {
             let reported = ping.lacking;
             self.lacking = reported.map(|(count, laggards)| (count, laggards, now));
--- a/crates/spread/src/node/tick.rs
+++ b/crates/spread/src/node/tick.rs
@@ -28,21 +28,21 @@
         let mut out = Vec::new();
         self.check_isolation(now);
         self.liveness.tick(self.journal.roster(), now);
-        self.restructure(now);
+        self.update_topology(now);
         self.ping_due(now, &mut out);
         self.probe(now, &mut out);
         self.update_children(now);
         self.update_in_force(now);
         self.announce(now, &mut out);
         self.catch_up(now, &mut out);
-        self.call(now, &mut out);
+        self.make_calls(now, &mut out);
         self.try_join(now);
         out
     }
 
     /// Recomputes the topology if the roster or the liveness has changed or the
     /// contacts are due for replacement.
-    pub(super) fn restructure(&mut self, now: Instant) {
+    pub(super) fn update_topology(&mut self, now: Instant) {
         let version = self.roster().through();
         let generation = self.liveness.generation();
         let drawn = match self.computed {
@@ -98,7 +98,7 @@
     fn ping_due(&mut self, now: Instant, out: &mut Vec<Command>) {
         let every = self.options.ping_interval;
         let heads = self.topology.heads.iter();
-        let heads = heads.flat_map(|(_, heads)| heads.iter().take(self.depth(heads, now)));
+        let heads = heads.flat_map(|(_, heads)| heads.iter().take(self.heads_to_ping(heads, now)));
         let mut due: Vec<Process> = self
             .topology
             .children
@@ -122,7 +122,7 @@
 
     /// Returns how many of a data centre's first processes to ping: the second
     /// one only while the first is unresponsive.
-    fn depth(&self, heads: &[Process], now: Instant) -> usize {
+    fn heads_to_ping(&self, heads: &[Process], now: Instant) -> usize {
         let first = heads.first().and_then(|head| self.peers.get(head));
         let unresponsive =
             first.is_some_and(|peer| peer.idle_time(now) > self.options.probe_timeout);
@@ -256,7 +256,7 @@
         let heads = self.topology.heads.iter().flat_map(|(_, heads)| heads);
         let readers = self.topology.parent.iter().chain(heads);
         let asked = readers.filter_map(|reader| {
-            let stamp = self.peers.get(reader)?.asked?;
+            let stamp = self.peers.get(reader)?.last_stamp?;
             Some((reader.clone(), stamp))
         });
         for (reader, stamp) in asked.collect::<Vec<_>>() {
--- a/crates/spread/src/peer.rs
+++ b/crates/spread/src/peer.rs
@@ -28,7 +28,7 @@
     /// When others were last asked to ping the peer.
     pub(crate) relayed: Option<Instant>,
     /// The stamp of the peer's last ping, which reports answer.
-    pub(crate) asked: Option<u64>,
+    pub(crate) last_stamp: Option<u64>,
     /// Whether the peer has caught up since it started.
     pub(crate) caught_up: bool,
     /// The send time of the last ping that the peer answered.
@@ -52,7 +52,7 @@
             last_seen: None,
             pinged: None,
             relayed: None,
-            asked: None,
+            last_stamp: None,
             caught_up: false,
             answered: None,
             held: Sequence(0),
@@ -72,7 +72,7 @@
         self.caught_up = summary.caught_up;
     }
 
-    /// Returns the time since the peer's last message, counted at most from
+    /// Returns the time since the peer's last message, but at most the time since
     /// [`Peer::since`].
     pub(crate) fn idle_time(&self, now: Instant) -> Duration {
         let last = self.last_seen.unwrap_or(self.since).max(self.since);
--- a/crates/spread/src/report.rs
+++ b/crates/spread/src/report.rs
@@ -77,19 +77,19 @@
 
 impl Report {
     /// Merges `other`, which was requested `elapsed` ago, and lists at most
-    /// `named` laggards.
-    pub(crate) fn merge(&mut self, other: &Self, elapsed: Duration, named: usize) {
+    /// `laggards_max` laggards.
+    pub(crate) fn merge(&mut self, other: &Self, elapsed: Duration, laggards_max: usize) {
         self.acknowledgement.merge(&other.acknowledgement, elapsed);
         self.lacking += other.lacking;
-        let room = named.saturating_sub(self.laggards.len());
+        let room = laggards_max.saturating_sub(self.laggards.len());
         let more = other.laggards.iter().take(room).cloned();
         self.laggards.extend(more);
     }
 
-    /// Counts a laggard, and lists it unless `named` laggards are listed.
-    pub(crate) fn add_laggard(&mut self, laggard: Laggard, named: usize) {
+    /// Counts a laggard, and lists it unless `laggards_max` are listed already.
+    pub(crate) fn add_laggard(&mut self, laggard: Laggard, laggards_max: usize) {
         self.lacking += 1;
-        if self.laggards.len() < named {
+        if self.laggards.len() < laggards_max {
             self.laggards.push(laggard);
         }
     }
--- a/crates/spread/src/watch.rs
+++ b/crates/spread/src/watch.rs
@@ -63,7 +63,7 @@
     }
 
     /// Returns whether a call for `purpose` may be made at `now`.
-    pub(crate) fn free(&self, purpose: Purpose, now: Instant) -> bool {
+    pub(crate) fn may_call(&self, purpose: Purpose, now: Instant) -> bool {
         let open = self.open.values().any(|other| *other == purpose);
         let paced = self.paced.get(&purpose).is_some_and(|until| now < *until);
         // Calls for the own record have a separate back-off.
@@ -71,7 +71,7 @@
     }
 
     /// Opens a call.
-    pub(crate) fn make(&mut self, purpose: Purpose, call: Call, now: Instant) -> Command {
+    pub(crate) fn open_call(&mut self, purpose: Purpose, call: Call, now: Instant) -> Command {
         self.tickets += 1;
         let ticket = Ticket(self.tickets);
         self.open.insert(ticket, purpose);
