--- a/crates/node/src/payload.rs
+++ b/crates/node/src/payload.rs
@@ -49,10 +49,10 @@
         detail,
     };
     let offer = ciborium::from_reader(span.payload.as_ref()).map_err(|e| fail(e.to_string()))?;
-    let (after, through) = bounds(&offer).ok_or_else(|| fail("no entries".to_owned()))?;
+    let (after, through) = bounds(&offer).ok_or_else(|| fail("contains no entries".to_owned()))?;
     if (after, through) != (span.after.0, span.through.0) {
         return Err(fail(format!(
-            "its revisions are after {after} through {through}, other than the span's"
+            "bounds {after} to {through} differ from those of the span"
         )));
     }
     Ok(offer)
--- a/crates/spread/src/node/join.rs
+++ b/crates/spread/src/node/join.rs
@@ -11,7 +11,8 @@
 /// down.
 const OUTAGE_FAILURES: u32 = 2;
 
-/// How long to wait for the answers of peers while the platform is down.
+/// How long to wait for the answers of peers while the platform is down; it
+/// covers the slowest of them.
 const PEER_ANSWER_TIME: Duration = Duration::from_secs(2);
 
 impl Node {
--- a/crates/spread/src/report.rs
+++ b/crates/spread/src/report.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// The origin of a laggard.
+/// A process or data centre that lags behind.
 #[message]
 #[derive(Eq)]
 pub enum Place {
--- a/crates/spread/src/standing.rs
+++ b/crates/spread/src/standing.rs
@@ -1,4 +1,4 @@
-//! Whether a process may serve.
+//! The standing of a process, which determines whether it may serve.
 
 use cactusnotch_base::clock::Instant;
 use cactusnotch_derive::{number, record};
