--- a/crates/settings/examples/support/mod.rs
+++ b/crates/settings/examples/support/mod.rs
@@ -1,4 +1,4 @@
-//! A tree of the size that a large installation is expected to reach.
+//! A tree of the size that is expected in two years.
 
 use cactusnotch_base::number::Revision;
 use cactusnotch_settings::{Edit, Id, Key, Kind, Operation, Value};
