--- a/crates/member/src/liveness.rs
+++ b/crates/member/src/liveness.rs
@@ -1,4 +1,4 @@
-//! Who can be reached.
+//! Reachability of processes.
 
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::Instant;
@@ -9,91 +9,94 @@
 use crate::options::Options;
 use crate::record::Record;
 use crate::roster::{Roster, Row};
-use crate::rumour::{Life, Rumour, Status};
+use crate::rumour::{Instance, Rumour, Status};
 
-/// How many rumours ride on one message.
-const PER_MESSAGE: usize = 4;
+/// The maximum number of rumours in one message, besides those about its
+/// receiver.
+const RUMOURS_PER_MESSAGE: usize = 4;
 
-/// How many messages carry a rumour, beyond two for each doubling of members.
-const TELLINGS: u32 = 6;
+/// How many messages carry a rumour, in addition to two for each doubling of the
+/// number of members.
+const TRANSMISSIONS_MIN: u32 = 6;
 
-/// What is known of a process that was ever suspected or restarted.
+/// The state of a process that was suspected or restarted.
 #[record]
 #[derive(Copy)]
 pub struct Health {
-    /// The latest life that is known.
-    pub life: Life,
+    /// The latest known instance.
+    pub instance: Instance,
     /// Whether the process can be reached.
     pub status: Status,
-    /// Since when the status stands, on this process's clock.
+    /// When the status was set, on this process's clock.
     pub since: Instant,
-    tellings: u32,
+    transmissions: u32,
 }
 
-/// Who can be reached, as this process and its peers see it.
+/// The reachability of processes as observed by this process and its peers.
 ///
-/// It chooses whom to talk to. It never moves a right to act, and it takes
-/// nobody off the roster by itself.
+/// It selects communication partners. It never transfers exclusive rights, and
+/// removes no process from the roster by itself.
 #[derive(Debug)]
 pub struct Liveness {
     options: Options,
     own: Process,
-    life: Life,
+    instance: Instance,
     later: Option<Incarnation>,
     healths: Table<Process, Health>,
     generation: u64,
-    tellings: u32,
-    turn: usize,
+    transmissions: u32,
+    cursor: usize,
 }
 
 impl Liveness {
-    /// Creates the view of process `own`, to whom everybody is alive.
+    /// Creates the view of process `own`, in which all processes are alive.
     #[must_use]
     pub fn new(options: Options, own: Process, incarnation: Incarnation) -> Self {
-        let life = registered(incarnation);
+        let instance = initial(incarnation);
         Self {
             options,
             own,
-            life,
+            instance,
             later: None,
             healths: Table::new(),
             generation: 0,
-            tellings: TELLINGS,
-            turn: 0,
+            transmissions: TRANSMISSIONS_MIN,
+            cursor: 0,
         }
     }
 
-    /// Returns the process's own life.
+    /// Returns the process's own instance.
     #[must_use]
-    pub const fn life(&self) -> Life {
-        self.life
+    pub const fn instance(&self) -> Instance {
+        self.instance
     }
 
-    /// Takes a larger incarnation, as found when a record was written, and
-    /// lets it be told.
-    pub fn reborn(&mut self, incarnation: Incarnation, now: Instant) {
-        if incarnation > self.life.incarnation {
-            self.life = registered(incarnation);
+    /// Sets a larger incarnation, as determined when the record was written, and
+    /// announces it.
+    pub fn set_incarnation(&mut self, incarnation: Incarnation, now: Instant) {
+        if incarnation > self.instance.incarnation {
+            self.instance = initial(incarnation);
         }
-        self.later = self.later.filter(|later| *later > self.life.incarnation);
+        self.later = self
+            .later
+            .filter(|later| *later > self.instance.incarnation);
         self.announce(now);
     }
 
-    /// Lets the process's own life be told.
+    /// Schedules a rumour that this process is alive.
     pub fn announce(&mut self, now: Instant) {
         let own = self.own.clone();
-        self.set(own, self.life, Status::Alive, now);
+        self.set(own, self.instance, Status::Alive, now);
     }
 
-    /// Returns the incarnation of a later life of the same name, if one is
-    /// known.
+    /// Returns the later incarnation of the same name, if one is known.
     #[must_use]
-    pub const fn superseded_by(&self) -> Option<Incarnation> {
+    pub const fn later_incarnation(&self) -> Option<Incarnation> {
         self.later
     }
 
-    /// Returns a number that grows whenever a process starts or stops to
-    /// count as dead.
+    /// Returns a number that increases whenever a process starts or stops
+    /// counting as dead.
     #[must_use]
     pub const fn generation(&self) -> u64 {
         self.generation
@@ -106,7 +109,7 @@
         health.map_or(Status::Alive, |health| health.status)
     }
 
-    /// Returns what is known of `process`, if it was ever suspected.
+    /// Returns the state of `process`, if it was suspected or restarted.
     #[must_use]
     pub fn health(&self, process: &Process) -> Option<&Health> {
         self.healths.get(process)
@@ -115,73 +118,73 @@
     /// Suspects `process`, which could not be reached; `incarnation` is that
     /// of its record.
     pub fn suspect(&mut self, process: &Process, incarnation: Incarnation, now: Instant) {
-        let roster = registered(incarnation);
+        let roster = initial(incarnation);
         let known = self.healths.get(process);
-        let life = known.map_or(roster, |health| health.life.max(roster));
-        let status = known.filter(|health| health.life == life);
+        let instance = known.map_or(roster, |health| health.instance.max(roster));
+        let status = known.filter(|health| health.instance == instance);
         if status.is_none_or(|health| health.status == Status::Alive) {
-            self.set(process.clone(), life, Status::Suspect, now);
+            self.set(process.clone(), instance, Status::Suspect, now);
         }
     }
 
-    /// Takes in a rumour about a member of `roster`. A rumour that this
-    /// process cannot be reached is refuted.
-    pub fn hear(&mut self, rumour: &Rumour, roster: &Roster, now: Instant) {
+    /// Applies a rumour about a member of `roster`. A rumour that this process is
+    /// unreachable is refuted.
+    pub fn apply(&mut self, rumour: &Rumour, roster: &Roster, now: Instant) {
         if rumour.process == self.own {
-            self.hear_of_self(rumour, now);
+            self.apply_own(rumour, now);
             return;
         }
         let Some(record) = roster.get(&rumour.process) else {
             return;
         };
         let known = self.healths.get(&rumour.process);
-        let (life, status) = known.map_or_else(
-            || (registered(record.incarnation), Status::Alive),
-            |health| (health.life, health.status),
+        let (instance, status) = known.map_or_else(
+            || (initial(record.incarnation), Status::Alive),
+            |health| (health.instance, health.status),
         );
-        let (told, known) = ((rumour.life, rumour.status), (life, status));
-        if told > known {
-            self.set(rumour.process.clone(), rumour.life, rumour.status, now);
-        } else if told < known {
-            self.repeat(&rumour.process);
+        let (reported, known) = ((rumour.instance, rumour.status), (instance, status));
+        if reported > known {
+            self.set(rumour.process.clone(), rumour.instance, rumour.status, now);
+        } else if reported < known {
+            self.requeue(&rumour.process);
         }
     }
 
-    /// Tells again what a peer turned out to have missed.
-    fn repeat(&mut self, process: &Process) {
-        let tellings = self.tellings;
+    /// Schedules the rumour about `process` again, since a peer has missed it.
+    fn requeue(&mut self, process: &Process) {
+        let transmissions = self.transmissions;
         if let Some(health) = self.healths.get_mut(process) {
-            health.tellings = tellings;
+            health.transmissions = transmissions;
         }
     }
 
-    fn hear_of_self(&mut self, rumour: &Rumour, now: Instant) {
-        if rumour.life.incarnation > self.life.incarnation {
-            self.later = self.later.max(Some(rumour.life.incarnation));
+    fn apply_own(&mut self, rumour: &Rumour, now: Instant) {
+        if rumour.instance.incarnation > self.instance.incarnation {
+            self.later = self.later.max(Some(rumour.instance.incarnation));
         } else if rumour.status != Status::Alive {
-            if rumour.life >= self.life {
-                self.life.refuted = rumour.life.refuted + 1;
+            if rumour.instance >= self.instance {
+                self.instance.refuted = rumour.instance.refuted + 1;
             }
             self.announce(now);
         }
     }
 
-    /// Turns suspicions that were not refuted in time into deaths, and forgets
-    /// processes that left `roster` or are on it in a later life.
+    /// Marks suspects that did not refute in time as dead, and drops the state of
+    /// processes that left `roster` or are on it with a later incarnation.
     pub fn tick(&mut self, roster: &Roster, now: Instant) {
-        let refute = self.options.refute;
+        let refute = self.options.refute_timeout;
         let (mut died, mut revived) = (Vec::new(), 0);
         self.healths.retain(|process, health| {
             let late = now.saturating_duration_since(health.since) >= refute;
             if late && health.status == Status::Suspect {
-                died.push((process.clone(), health.life));
+                died.push((process.clone(), health.instance));
             }
             let known = roster.get(process).map(|record| record.incarnation);
             let keep = match known {
                 Some(incarnation) => {
-                    let told = health.tellings == 0 && health.status == Status::Alive;
-                    let plain = told && health.life == registered(incarnation);
-                    incarnation <= health.life.incarnation && !plain
+                    let is_sent = health.transmissions == 0 && health.status == Status::Alive;
+                    let is_default = is_sent && health.instance == initial(incarnation);
+                    incarnation <= health.instance.incarnation && !is_default
                 }
                 None => *process == self.own,
             };
@@ -189,20 +192,20 @@
             keep
         });
         self.generation += revived;
-        self.tellings = TELLINGS + 2 * roster.len().max(1).ilog2();
-        for (process, life) in died {
+        self.transmissions = TRANSMISSIONS_MIN + 2 * roster.len().max(1).ilog2();
+        for (process, instance) in died {
             if self.healths.contains(&process) {
-                self.set(process, life, Status::Dead, now);
+                self.set(process, instance, Status::Dead, now);
             }
         }
     }
 
-    fn set(&mut self, process: Process, life: Life, status: Status, now: Instant) {
+    fn set(&mut self, process: Process, instance: Instance, status: Status, now: Instant) {
         let health = Health {
-            life,
+            instance,
             status,
             since: now,
-            tellings: self.tellings,
+            transmissions: self.transmissions,
         };
         let before = self.healths.insert(process, health);
         let was_dead = before.is_some_and(|before| before.status == Status::Dead);
@@ -211,37 +214,36 @@
         }
     }
 
-    /// Returns the rumours to send with a message to `peer`. What is known
-    /// against `peer` itself always goes along, so that it can refute; what is
-    /// known against others is repeated in turn, so that whoever knows better
-    /// can tell.
+    /// Returns the rumours to send with a message to `peer`. A suspicion of `peer`
+    /// itself is always included so that it can refute it. If nothing else is
+    /// due, suspicions of other processes are repeated in turn, so that a peer
+    /// with newer information can correct them.
     pub fn rumours(&mut self, peer: &Process) -> Vec<Rumour> {
         let mut chosen = Vec::new();
         for (process, health) in self.healths.iter_mut() {
-            let against = process == peer && health.status != Status::Alive;
-            if against || (health.tellings > 0 && chosen.len() < PER_MESSAGE) {
-                health.tellings = health.tellings.saturating_sub(1);
+            let is_accused = process == peer && health.status != Status::Alive;
+            if is_accused || (health.transmissions > 0 && chosen.len() < RUMOURS_PER_MESSAGE) {
+                health.transmissions = health.transmissions.saturating_sub(1);
                 chosen.push(rumour(process, health));
             }
         }
         if chosen.is_empty() {
-            chosen.extend(self.next_against());
+            chosen.extend(self.next_unreachable());
         }
         chosen
     }
 
-    fn next_against(&mut self) -> Option<Rumour> {
-        self.turn = self.turn.wrapping_add(1);
+    fn next_unreachable(&mut self) -> Option<Rumour> {
+        self.cursor = self.cursor.wrapping_add(1);
         let rows = || self.healths.iter();
-        let against = || rows().filter(|(_, health)| health.status != Status::Alive);
-        let at = self.turn.checked_rem(against().count())?;
-        let (process, health) = against().nth(at)?;
+        let unreachable = || rows().filter(|(_, health)| health.status != Status::Alive);
+        let at = self.cursor.checked_rem(unreachable().count())?;
+        let (process, health) = unreachable().nth(at)?;
         Some(rumour(process, health))
     }
 
-    /// Returns the members of `roster` that have counted as dead for the
-    /// expiry and that `ours` holds for; none if they are more than the part
-    /// that may expire.
+    /// Returns the members of `roster` that satisfy `ours` and have counted as dead
+    /// for the expiry time; none if they exceed the share that may expire.
     #[must_use]
     pub fn expired<'a>(
         &self,
@@ -266,14 +268,14 @@
 fn rumour(process: &Process, health: &Health) -> Rumour {
     Rumour {
         process: process.clone(),
-        life: health.life,
+        instance: health.instance,
         status: health.status,
     }
 }
 
-/// Returns the life that a record stands for.
-const fn registered(incarnation: Incarnation) -> Life {
-    Life {
+/// Returns the instance of a record, without refutations.
+const fn initial(incarnation: Incarnation) -> Instance {
+    Instance {
         incarnation,
         refuted: 0,
     }
