--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -15,5 +15,5 @@
 mod state;
 
 pub use options::Options;
-pub use rank::Care;
+pub use rank::Rank;
 pub use server::Server;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bpaf::Bpaf;
-use cactusnotch_agent::{Care, Options, Server};
+use cactusnotch_agent::{Options, Rank, Server};
 use cactusnotch_base::clock::System;
 use cactusnotch_base::name::{Endpoint, Process};
 use cactusnotch_base::{Clock, Table};
@@ -176,7 +176,7 @@
     let cause = tokio::select! {
         _ = terminate.recv() => "agent told to stop",
         _ = tokio::signal::ctrl_c() => "agent told to stop",
-        () = server.left() => "agent stops with its endpoint",
+        () = server.leaving() => "agent stops with its endpoint",
     };
     tracing::info!("{cause}");
     server.stop().await;
@@ -208,7 +208,7 @@
         engine: settings.engine.as_str().to_owned(),
         slots: settings.slots,
         ledger: cactusnotch_ledger::Options::default(),
-        rank: settings.rank.map(|engine| Care {
+        rank: settings.rank.map(|engine| Rank {
             engine: engine.as_str().to_owned(),
             store_rate: settings.store_rate,
             expert_bytes: settings.expert_bytes,
--- a/crates/agent/src/options.rs
+++ b/crates/agent/src/options.rs
@@ -7,7 +7,7 @@
 use cactusnotch_ledger as ledger;
 use cactusnotch_node as node;
 
-use crate::Care;
+use crate::Rank;
 
 /// How an agent runs.
 #[derive(Debug, Clone)]
@@ -30,7 +30,7 @@
     /// The bounds of the ledger.
     pub ledger: ledger::Options,
     /// How the rank is looked after, if the endpoint is one of a group.
-    pub rank: Option<Care>,
+    pub rank: Option<Rank>,
     /// How often the agent tells entries its endpoint's condition.
     pub announce_interval: Duration,
 }
--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -10,7 +10,7 @@
 use cactusnotch_placement::{self as placement, Budget, Weights};
 use cactusnotch_popularity::Shape;
 use cactusnotch_settings::resolved;
-use cactusnotch_switch::{self as switch, Rank};
+use cactusnotch_switch as switch;
 use cactusnotch_wire::Body;
 use cactusnotch_wire::group::Message;
 use derive_more::Debug;
@@ -35,7 +35,7 @@
 
 /// How a rank is looked after, beside what the settings say.
 #[derive(Debug, Clone)]
-pub struct Care {
+pub struct Rank {
     /// The base address of the rank's engine.
     pub engine: String,
     /// The rate of the weight store that all groups share, in bytes a second.
@@ -102,7 +102,7 @@
 /// endpoint is a rank of, and again when the declaration changes.
 pub(crate) async fn follow<C: Clock>(
     options: crate::Options,
-    care: Care,
+    settings: Rank,
     node: Arc<Node<C>>,
     part: Arc<Part>,
     clock: C,
@@ -115,7 +115,7 @@
         if found.is_some() && found != declared {
             declared = found;
             if let Some((name, rank, group)) = &declared {
-                let options = rank_options(&options, &care, name, *rank, group);
+                let options = rank_options(&options, &settings, name, *rank, group);
                 let route = Route {
                     node: Arc::clone(&node),
                 };
@@ -131,7 +131,10 @@
 
 /// Returns the group that names the endpoint as one of its ranks, in the
 /// order of its list.
-fn declaration(view: &View, options: &crate::Options) -> Option<(String, Rank, resolved::Group)> {
+fn declaration(
+    view: &View,
+    options: &crate::Options,
+) -> Option<(String, switch::Rank, resolved::Group)> {
     let name = options.endpoint.as_str();
     view.settings.groups().iter().find_map(|(group, values)| {
         let at = values
@@ -139,15 +142,16 @@
             .iter()
             .position(|endpoint| endpoint == name)?;
         let rank = u16::try_from(at).ok().filter(|_| values.layers > 0)?;
-        (u64::from(rank) < values.ranks).then(|| (group.clone(), Rank(rank), values.clone()))
+        (u64::from(rank) < values.ranks)
+            .then(|| (group.clone(), switch::Rank(rank), values.clone()))
     })
 }
 
 fn rank_options(
     options: &crate::Options,
-    care: &Care,
+    settings: &Rank,
     name: &str,
-    rank: Rank,
+    rank: switch::Rank,
     group: &resolved::Group,
 ) -> Options {
     let size = u16::try_from(group.ranks).unwrap_or(u16::MAX);
@@ -158,7 +162,7 @@
     let slots = usize::from(shape.experts.div_ceil(size.max(1))) + SPARE_SLOTS;
     let identity = &options.node.link.identity;
     let planner = placement::Options {
-        bytes: care.expert_bytes,
+        bytes: settings.expert_bytes,
         ..placement::Options::new(shape, size, slots)
     };
     Options {
@@ -168,7 +172,7 @@
         shape,
         process: identity.process.clone(),
         incarnation: identity.incarnation,
-        engine: care.engine.clone(),
+        engine: settings.engine.clone(),
         platform: options.node.platform.clone(),
         switch: switch::Options {
             orders: cactusnotch_order::Options {
@@ -185,11 +189,11 @@
             planner,
             weights: weights(group),
             budget: Budget {
-                rate: share(care.store_rate, group.weight_store_share),
-                interval: care.plan_interval,
+                rate: share(settings.store_rate, group.weight_store_share),
+                interval: settings.plan_interval,
             },
         },
-        report_interval: care.report_interval,
+        report_interval: settings.report_interval,
     }
 }
 
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -81,8 +81,10 @@
             tokio::spawn(accept(listener, Arc::clone(&shared))),
             tokio::spawn(tick(options.announce_interval, Arc::clone(&shared))),
         ];
-        if let Some(care) = options.rank.clone() {
-            tasks.push(tokio::spawn(rank::follow(options, care, node, part, clock)));
+        if let Some(settings) = options.rank.clone() {
+            tasks.push(tokio::spawn(rank::follow(
+                options, settings, node, part, clock,
+            )));
         }
         Ok(Self {
             address,
@@ -105,8 +107,8 @@
 
     /// Waits until the endpoint has said that it leaves. The agent takes no new work from then
     /// on, and is to be stopped: it knows nothing of a process that comes after.
-    pub async fn left(&self) {
-        self.shared.state.left().await;
+    pub async fn leaving(&self) {
+        self.shared.state.leaving().await;
     }
 
     /// Refuses new work from now on and waits until all runs have ended.
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -123,7 +123,7 @@
     }
 
     /// Waits until the endpoint has said that it leaves.
-    pub(crate) async fn left(&self) {
+    pub(crate) async fn leaving(&self) {
         // The sender lives in `self`, so the wait cannot fail.
         let _ = self.leaving.subscribe().wait_for(|leaving| *leaving).await;
     }
--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -28,7 +28,7 @@
 
     /// Returns the time that is left until this moment, zero if it has passed.
     #[must_use]
-    pub fn left(&self) -> Duration {
+    pub fn remaining(&self) -> Duration {
         self.saturating_duration_since(now())
     }
 
@@ -124,7 +124,7 @@
 
 thread_local! {
     /// The time that this thread's host is said to have been suspended, beside the real one.
-    static ASLEEP: RefCell<Option<Sleep>> = const { RefCell::new(None) };
+    static SUSPENSION: RefCell<Option<Suspension>> = const { RefCell::new(None) };
 }
 
 /// Returns the current time of the operating system's clock that counts the time asleep.
@@ -136,33 +136,37 @@
 pub fn now() -> Instant {
     let time = clock_gettime(ClockId::CLOCK_BOOTTIME);
     let since_start = Duration::from(time.expect("Linux has this clock"));
-    Instant(BEFORE_START + since_start + asleep())
+    Instant(BEFORE_START + since_start + suspended())
 }
 
 /// Returns the current time of day.
 #[must_use]
 #[expect(clippy::disallowed_methods, reason = "this is the clock")]
 pub fn wall() -> SystemTime {
-    SystemTime::now() + asleep()
+    SystemTime::now() + suspended()
 }
 
-fn asleep() -> Duration {
-    ASLEEP.with_borrow(|sleep| sleep.as_ref().map_or(Duration::ZERO, Sleep::total))
+fn suspended() -> Duration {
+    SUSPENSION.with_borrow(|suspension| {
+        suspension
+            .as_ref()
+            .map_or(Duration::ZERO, Suspension::total)
+    })
 }
 
 /// Lets a test suspend a thread's host: all clocks of this module go on by the time asleep,
 /// the runtime's timers don't.
 #[derive(Debug, Clone, Default)]
-pub struct Sleep(Arc<Mutex<Duration>>);
+pub struct Suspension(Arc<Mutex<Duration>>);
 
-impl Sleep {
+impl Suspension {
     /// Sets this as what suspends the host of the current thread.
-    pub fn set(&self) {
-        ASLEEP.with_borrow_mut(|sleep| *sleep = Some(self.clone()));
+    pub fn install(&self) {
+        SUSPENSION.with_borrow_mut(|suspension| *suspension = Some(self.clone()));
     }
 
     /// Suspends the host for `time`.
-    pub fn pass(&self, time: Duration) {
+    pub fn extend(&self, time: Duration) {
         *self.lock() += time;
     }
 
--- a/crates/base/tests/clock.rs
+++ b/crates/base/tests/clock.rs
@@ -2,29 +2,29 @@
 
 use std::time::Duration;
 
-use cactusnotch_base::clock::{self, Clock, Sleep, System};
+use cactusnotch_base::clock::{self, Clock, Suspension, System};
 
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
 fn the_time_asleep_counts_in_ages_and_in_the_time_of_day() {
-    let sleep = Sleep::default();
-    sleep.set();
+    let suspension = Suspension::default();
+    suspension.install();
     let (before, day_before) = (System.now(), System.wall());
-    sleep.pass(8 * SECOND);
+    suspension.extend(8 * SECOND);
     assert!(before.elapsed() >= 8 * SECOND);
     assert!(System.wall() >= day_before + 8 * SECOND);
-    assert_eq!((before + 8 * SECOND).left(), Duration::ZERO);
+    assert_eq!((before + 8 * SECOND).remaining(), Duration::ZERO);
 }
 
 #[test]
 fn a_thread_whose_host_is_not_suspended_goes_on() {
-    let sleep = Sleep::default();
-    sleep.pass(1_000_000 * SECOND);
+    let suspension = Suspension::default();
+    suspension.extend(1_000_000 * SECOND);
     let before = clock::now();
     std::thread::scope(|scope| {
         let other = scope.spawn(|| {
-            sleep.set();
+            suspension.install();
             clock::now()
         });
         let asleep = other.join().expect("it reads the clock");
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -133,7 +133,7 @@
         let now = shared.clock.now();
         let wake = shared.claims.wake().unwrap_or(now + IDLE);
         tokio::select! {
-            () = tokio::time::sleep(wake.left()) => {}
+            () = tokio::time::sleep(wake.remaining()) => {}
             () = shared.claims.changed.notified() => {}
         }
         for index in 0..SHARDS {
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -89,7 +89,7 @@
     while let Some(wake) = drive.exchange.wake() {
         let event = tokio::select! {
             event = events.recv() => event.unwrap_or(Event::Timer),
-            () = tokio::time::sleep(wake.left()) => Event::Timer,
+            () = tokio::time::sleep(wake.remaining()) => Event::Timer,
             () = drive.output.closed() => Event::CallerGone,
         };
         let commands = drive.step(event);
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -33,4 +33,4 @@
 
 pub use options::Options;
 pub use server::{Error, Server};
-pub use status::{Lagging, Seen, Status};
+pub use status::{Lagging, Observation, Status};
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -7,7 +7,7 @@
 use rouille::{Request, Response};
 
 use crate::shared::Shared;
-use crate::status::{Lagging, Seen, Status};
+use crate::status::{Lagging, Observation, Status};
 
 /// Answers one call of an operator.
 pub(crate) fn answer<C: Clock>(shared: &Arc<Shared<C>>, request: &Request) -> Response {
@@ -36,12 +36,12 @@
     }
 }
 
-fn endpoints<C: Clock>(shared: &Shared<C>) -> Vec<Seen> {
+fn endpoints<C: Clock>(shared: &Shared<C>) -> Vec<Observation> {
     let heard = shared.agents.heard(shared.clock.now());
     let router = shared.router();
     heard
         .into_iter()
-        .map(|(endpoint, ago)| Seen {
+        .map(|(endpoint, ago)| Observation {
             state: router.state(&endpoint).unwrap_or_default().to_string(),
             requests: router.own_load(&endpoint).requests,
             heard_ms: ago.map(milliseconds),
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -35,7 +35,7 @@
     /// The requests that wait for their turn.
     pub waiting: usize,
     /// The endpoints that it knows.
-    pub endpoints: Vec<Seen>,
+    pub endpoints: Vec<Observation>,
 }
 
 /// A process or data centre that lacks the newest revision.
@@ -53,7 +53,7 @@
 /// What an entry sees of an endpoint.
 #[message]
 #[derive(Eq)]
-pub struct Seen {
+pub struct Observation {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// Whether it takes new work: `serving`, `leaving` or `unreachable`.
@@ -68,7 +68,10 @@
     /// Returns the number of endpoints that take new work.
     #[must_use]
     pub fn serving(&self) -> usize {
-        let serving = self.endpoints.iter().filter(|seen| seen.state == "serving");
+        let serving = self
+            .endpoints
+            .iter()
+            .filter(|endpoint| endpoint.state == "serving");
         serving.count()
     }
 }
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -127,7 +127,7 @@
     async fn drive<D: Dialect>(&mut self) -> Result<Answered, Refusal> {
         loop {
             // Timers stand still while the host is suspended.
-            if self.call.deadline.left().is_zero() {
+            if self.call.deadline.remaining().is_zero() {
                 return Err(self.lifecycle.timed_out(false));
             }
             let (endpoint, running) =
@@ -354,7 +354,7 @@
             return relayed_response(&self.shared, head, Outgoing::Whole(Some(body)));
         }
         self.log(refusal.status().as_u16(), &refusal.to_string());
-        let remaining = self.call.deadline.left();
+        let remaining = self.call.deadline.remaining();
         own_response::<D>(&self.shared, refusal, remaining)
     }
 
--- a/crates/gateway/src/wake.rs
+++ b/crates/gateway/src/wake.rs
@@ -54,7 +54,7 @@
     pub async fn wait_until(&self, moment: Instant) {
         loop {
             let suspended = self.suspended.notified();
-            let left = moment.left();
+            let left = moment.remaining();
             if left.is_zero() {
                 return;
             }
--- a/crates/gateway/tests/asleep.rs
+++ b/crates/gateway/tests/asleep.rs
@@ -6,7 +6,7 @@
 
 use std::time::Duration;
 
-use cactusnotch_base::clock::{self, Sleep};
+use cactusnotch_base::clock::{self, Suspension};
 use cactusnotch_gateway::budget::RetryBudgets;
 use cactusnotch_gateway::content::{Fingerprint, Parts};
 use cactusnotch_gateway::freshness::Freshness;
@@ -21,10 +21,10 @@
 
 /// Suspends the host of this thread between `before` and the code that follows.
 fn suspend_after<T>(before: impl FnOnce() -> T) -> T {
-    let sleep = Sleep::default();
-    sleep.set();
+    let suspension = Suspension::default();
+    suspension.install();
     let state = before();
-    sleep.pass(SUSPENDED);
+    suspension.extend(SUSPENDED);
     state
 }
 
--- a/crates/gateway/tests/wake.rs
+++ b/crates/gateway/tests/wake.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cactusnotch_base::clock::{self, Sleep};
+use cactusnotch_base::clock::{self, Suspension};
 use cactusnotch_gateway::wake::SuspendDetector;
 
 /// Far longer than the test takes.
@@ -18,12 +18,12 @@
 #[test]
 fn what_became_due_in_a_sleep_is_due_once_the_sleep_is_noticed() {
     run(async {
-        let (sleep, wake) = (Sleep::default(), SuspendDetector::default());
-        sleep.set();
+        let (suspension, wake) = (Suspension::default(), SuspendDetector::default());
+        suspension.install();
         let wait = wake.wait_until(clock::now() + LONG);
         let suspend = async {
             tokio::task::yield_now().await;
-            sleep.pass(2 * LONG);
+            suspension.extend(2 * LONG);
             assert!(wake.check());
         };
         tokio::join!(wait, suspend);
@@ -33,15 +33,15 @@
 #[test]
 fn a_sleep_is_noticed_once_and_a_pause_is_none() {
     run(async {
-        let (sleep, wake) = (Sleep::default(), SuspendDetector::default());
-        sleep.set();
+        let (suspension, wake) = (Suspension::default(), SuspendDetector::default());
+        suspension.install();
         assert!(!wake.check());
-        sleep.pass(Duration::from_millis(50));
+        suspension.extend(Duration::from_millis(50));
         assert!(
             !wake.check(),
             "less than the tolerance between clock readings"
         );
-        sleep.pass(Duration::from_secs(8));
+        suspension.extend(Duration::from_secs(8));
         assert!(wake.check());
         assert!(!wake.check());
     });
--- a/crates/group/src/driver.rs
+++ b/crates/group/src/driver.rs
@@ -151,7 +151,7 @@
                 let Some(input) = input else { return };
                 dispatch(&context, input, &mut membership, coordination.as_mut());
             }
-            () = tokio::time::sleep(wake.left()) => {}
+            () = tokio::time::sleep(wake.remaining()) => {}
         }
         membership.tick(&context);
         if let Some(coordination) = &mut coordination {
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use cactusnotch_agent::{self as agent, Care};
+use cactusnotch_agent::{self as agent, Rank};
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::System;
 use cactusnotch_base::name::{DataCentre, Endpoint, Host, Process, Region};
@@ -158,7 +158,7 @@
     pub async fn add_group(
         &mut self,
         options: &ranks::Options,
-        care: &Care,
+        template: &Rank,
     ) -> Result<(), Failure> {
         let group = ranks::Group::start(options)
             .map_err(|error| Failure::new("start of a group of ranks", error))?;
@@ -166,9 +166,9 @@
             let engine = format!("http://{address}");
             let options = agent::Options {
                 endpoint: rank_endpoint(rank),
-                rank: Some(Care {
+                rank: Some(Rank {
                     engine: engine.clone(),
-                    ..care.clone()
+                    ..template.clone()
                 }),
                 ..self.agent(&format!("agent-rank-{rank}"), rank, engine)
             };
--- a/crates/lab/src/load/caller.rs
+++ b/crates/lab/src/load/caller.rs
@@ -78,7 +78,7 @@
         until: Instant,
     ) -> Result<Outcome, Error> {
         let request = request(address, ask);
-        let response = tokio::time::timeout(until.left(), self.client.request(request))
+        let response = tokio::time::timeout(until.remaining(), self.client.request(request))
             .await
             .map_err(|_| Error::Late { address })?
             .map_err(|error| failure(address, &error))?;
@@ -86,7 +86,7 @@
             return Ok(refused(response).await);
         }
         let mut reader = Reader::new(response, start, ask.after);
-        let is_in_time = tokio::time::timeout(until.left(), reader.read()).await;
+        let is_in_time = tokio::time::timeout(until.remaining(), reader.read()).await;
         Ok(reader.finish(is_in_time.unwrap_or(false)))
     }
 }
--- a/crates/lab/src/load/run.rs
+++ b/crates/lab/src/load/run.rs
@@ -21,7 +21,7 @@
     let mut requests = JoinSet::new();
     for (number, arrival) in plan.arrivals.into_iter().enumerate() {
         let start = begin + arrival.at;
-        tokio::time::sleep(start.left()).await;
+        tokio::time::sleep(start.remaining()).await;
         let course = Course {
             streamer: streamer.clone(),
             targets: Arc::clone(&targets),
--- a/crates/lease/tests/holder.rs
+++ b/crates/lease/tests/holder.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cactusnotch_base::clock::{self, Instant, Manual, Sleep};
+use cactusnotch_base::clock::{self, Instant, Manual, Suspension};
 use cactusnotch_base::number::{Fence, Sequence};
 use cactusnotch_lease::call::{Answer, Call, Found, Ticket};
 use cactusnotch_lease::{Driver, Lease, Options, Record};
@@ -186,12 +186,12 @@
 
 #[test]
 fn a_holder_whose_host_was_suspended_past_its_lease_may_not_act() {
-    let sleep = Sleep::default();
-    sleep.set();
+    let suspension = Suspension::default();
+    suspension.install();
     let lease = acquired(clock::now());
     let guard = lease.check(clock::now()).expect("it holds the lease");
     assert!(guard.check(clock::now()));
-    sleep.pass(second(10));
+    suspension.extend(second(10));
     assert!(!guard.check(clock::now()));
     assert!(lease.check(clock::now()).is_none());
 }
--- a/crates/rebalance/src/agent.rs
+++ b/crates/rebalance/src/agent.rs
@@ -217,7 +217,7 @@
                     }
                     continue;
                 }
-                () = tokio::time::sleep(next.left()) => clock::now(),
+                () = tokio::time::sleep(next.remaining()) => clock::now(),
             };
             self.poll_endpoint(&sockets, now).await;
             let busy = self.rank.member.is_busy();
--- a/crates/standins/src/engine/core.rs
+++ b/crates/standins/src/engine/core.rs
@@ -83,7 +83,7 @@
             }
             let step = lock(&self.batch).begin(clock::now());
             due = (due + self.stretched(step)).max(clock::now());
-            tokio::time::sleep(due.left()).await;
+            tokio::time::sleep(due.remaining()).await;
             self.thawed().await;
             lock(&self.batch).finish(clock::now());
         }
--- a/crates/standins/src/proxy/pump.rs
+++ b/crates/standins/src/proxy/pump.rs
@@ -109,7 +109,7 @@
     ) -> Result<(), Cut> {
         let (mut passed, mut swallows) = (0, false);
         while let Some(Chunk { due, bytes }) = chunks.recv().await {
-            tokio::time::sleep(due.left()).await;
+            tokio::time::sleep(due.remaining()).await;
             self.thawed().await;
             swallows |= self.control.borrow().line(self.direction).half_open;
             if swallows {
--- a/crates/standins/src/weights/call.rs
+++ b/crates/standins/src/weights/call.rs
@@ -38,7 +38,7 @@
         return Ok(refusal(StatusCode::TOO_MANY_REQUESTS, detail));
     };
     let guard = Guard(pace);
-    tokio::time::sleep(due.left()).await;
+    tokio::time::sleep(due.remaining()).await;
     let size = {
         let pace = &mut lock(&guard.0);
         pace.served();
