--- a/crates/entry/src/addresses.rs
+++ b/crates/entry/src/addresses.rs
@@ -22,8 +22,8 @@
     data_centre: DataCentre,
 }
 
-/// Lists the entries that take callers' connections, the nearest first, and
-/// says for how long the list may be kept.
+/// Lists the entries that accept callers' connections, nearest first, and for
+/// how long callers may cache the list.
 pub(crate) fn answer<C: Clock>(shared: &Shared<C>) -> Response<Body> {
     let own = &shared.options.node.link.identity.data_centre;
     let view = shared.node.view();
@@ -34,7 +34,7 @@
             data_centre,
         })
         .collect();
-    // Each caller gets its own order within a data centre, which spreads them.
+    // A random order within each data centre spreads callers over the entries.
     rand::seq::SliceRandom::shuffle(addresses.as_mut_slice(), &mut rand::rng());
     addresses.sort_by_key(|address| address.data_centre != *own);
     let lifetime = view.settings.system.address_lifetime;
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,4 +1,5 @@
-//! Which requests an entry lets in, and when.
+//! Admission control: queues requests per service and admits them under the
+//! organisations' caps.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -21,42 +22,43 @@
 use crate::Options;
 use crate::caps;
 use crate::problem::Problem;
+use crate::queueing;
 use crate::shared::Shared;
-use crate::terms;
 
-/// How many times as many requests as it has slots an endpoint may hold, so
-/// that a slot that gets free is filled at once.
-const AHEAD: f64 = 1.5;
+/// The requests that an endpoint may hold, as a multiple of its slots. Values
+/// above one fill a freed slot without a round trip.
+const SLOT_OVERCOMMIT: f64 = 1.5;
 
-/// How often the queues are looked at without any other reason.
+/// The interval at which queues are polled in the absence of other events.
 const TICK: Duration = Duration::from_millis(50);
 
-/// The place of a request in the queue of its service.
-type Place = (Service, Ticket);
+/// Identifies a queued request by its service and its ticket there.
+type Key = (Service, Ticket);
 
-/// Where the answer to a request arrives.
+/// Receives the admission decision on a request.
 type Answers<C> = oneshot::Receiver<Result<Permit<C>, Refusal>>;
 
 #[derive(Debug)]
 struct Inner<C: Clock> {
-    me: Process,
+    own: Process,
     gates: Table<Service, Gate>,
     usage: Usage,
     quota: Exchange,
-    waiting: Table<Place, Waiter<C>>,
-    /// The organisations that the exchange of caps was told of.
-    told: Table<Organisation, u32>,
+    waiting: Table<Key, Waiter<C>>,
+    /// The organisations with demand, and the demand last reported to the
+    /// quota exchange.
+    reported: Table<Organisation, u32>,
     revision: Revision,
     revisions: Receiver<Arc<View>>,
 }
 
-/// Which requests an entry lets in, and when.
+/// Admission control of an entry.
 #[derive(Debug)]
 pub(crate) struct Admission<C: Clock> {
     inner: Mutex<Inner<C>>,
 }
 
-/// The right of one request to run, given back when it is dropped.
+/// Permits one request to run; released on drop.
 #[derive(Debug)]
 pub(crate) struct Permit<C: Clock> {
     shared: Arc<Shared<C>>,
@@ -64,24 +66,24 @@
     organisation: Organisation,
 }
 
-/// A request that waits, and where its answer goes.
+/// The organisation of a queued request and the channel for its decision.
 #[derive(Debug)]
 struct Waiter<C: Clock> {
     organisation: Organisation,
     sender: oneshot::Sender<Result<Permit<C>, Refusal>>,
 }
 
-/// An answer that is sent once the tables are unlocked: a permit that nobody
-/// takes any more is given back then.
+/// A decision to be sent after the lock is released: if the receiver is gone,
+/// the permit is dropped on sending, and the drop takes the lock again.
 struct Answer<C: Clock> {
     waiter: Waiter<C>,
     refusal: Option<Refusal>,
 }
 
-/// A request in the queue, taken out when it is dropped.
-struct Waiting<'a, C: Clock> {
+/// A queued request; removed from the queue on drop.
+struct Queued<'a, C: Clock> {
     shared: &'a Arc<Shared<C>>,
-    place: Place,
+    key: Key,
     organisation: &'a Organisation,
 }
 
@@ -95,12 +97,12 @@
             now,
         );
         let inner = Inner {
-            me: identity.process.clone(),
+            own: identity.process.clone(),
             gates: Table::new(),
             usage: Usage::default(),
             quota,
             waiting: Table::new(),
-            told: Table::new(),
+            reported: Table::new(),
             revision: Revision(0),
             revisions: node.revisions(),
         };
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Returns the number of requests that wait.
+    /// Returns the number of queued requests.
     pub(crate) fn waiting(&self) -> usize {
         self.lock().waiting.len()
     }
@@ -119,27 +121,27 @@
     }
 }
 
-/// Waits until a request may run.
+/// Queues a request and waits until it is admitted.
 ///
 /// # Errors
 ///
-/// Refuses a request at once if its answer would come late.
+/// Refuses a request at once if its answer would miss the deadline.
 pub(crate) async fn enter<C: Clock>(
     shared: &Arc<Shared<C>>,
     service: &Service,
     name: &Organisation,
     values: &resolved::Organisation,
 ) -> Result<Permit<C>, Problem> {
-    let (receiver, place) =
-        arrive(shared, service, name, values).map_err(|refusal| refused(&refusal))?;
-    let waiting = Waiting {
+    let (receiver, key) =
+        enqueue(shared, service, name, values).map_err(|refusal| refused(&refusal))?;
+    let queued = Queued {
         shared,
-        place,
+        key,
         organisation: name,
     };
     poll(shared, service);
     let answer = receiver.await;
-    drop(waiting);
+    drop(queued);
     match answer {
         Ok(Ok(permit)) => Ok(permit),
         Ok(Err(refusal)) => Err(refused(&refusal)),
@@ -147,29 +149,29 @@
     }
 }
 
-fn arrive<C: Clock>(
+fn enqueue<C: Clock>(
     shared: &Arc<Shared<C>>,
     service: &Service,
     name: &Organisation,
     values: &resolved::Organisation,
-) -> Result<(Answers<C>, Place), Refusal> {
+) -> Result<(Answers<C>, Key), Refusal> {
     let now = shared.clock.now();
-    let (room, run) = {
+    let (headroom, run) = {
         let router = shared.router();
         (
-            router.headroom(service, AHEAD, now),
+            router.headroom(service, SLOT_OVERCOMMIT, now),
             router.service_time(service),
         )
     };
     let request = Request {
         organisation: name,
         share: u32::try_from(values.concurrency_floor.saturating_add(1)).unwrap_or(u32::MAX),
-        priority: terms::priority(values.priority),
+        priority: queueing::priority(values.priority),
         cost: 1.0,
         deadline: now + values.deadline,
         run,
     };
-    let queue_max = terms::queue_bound(&shared.settings(), service);
+    let queue_max = queueing::queue_bound(&shared.settings(), service);
     let mut commands = Vec::new();
     let mut inner = shared.admission.lock();
     let gate = inner.gates.get_or_insert_with(service.clone(), || {
@@ -178,33 +180,34 @@
             ..cactusnotch_admit::Options::default()
         })
     });
-    let ticket = gate.enqueue(&request, room, &mut commands, now, &mut rand::rng())?;
+    let ticket = gate.enqueue(&request, headroom, &mut commands, now, &mut rand::rng())?;
     let (sender, receiver) = oneshot::channel();
-    let place = (service.clone(), ticket);
+    let key = (service.clone(), ticket);
     let organisation = name.clone();
     let waiter = Waiter {
         organisation,
         sender,
     };
-    inner.waiting.insert(place.clone(), waiter);
+    inner.waiting.insert(key.clone(), waiter);
     let answers = inner.answers(service, commands);
     drop(inner);
     deliver(shared, service, answers);
-    Ok((receiver, place))
+    Ok((receiver, key))
 }
 
-/// Starts what may start of a service and refuses what is hopeless.
+/// Admits queued requests of a service up to its headroom and refuses those
+/// that cannot meet their deadline.
 fn poll<C: Clock>(shared: &Arc<Shared<C>>, service: &Service) {
     let now = shared.clock.now();
-    let room = shared.router().headroom(service, AHEAD, now);
+    let headroom = shared.router().headroom(service, SLOT_OVERCOMMIT, now);
     let (answers, messages) = {
         let mut inner = shared.admission.lock();
-        // No request starts under a revision whose caps are not known here.
-        inner.follow_all(&shared.node);
-        let answers = inner.poll(service, room, now);
-        (answers, inner.demand(now))
+        // No request is admitted under a revision whose caps are not yet applied.
+        inner.apply_pending_views(&shared.node);
+        let answers = inner.poll(service, headroom, now);
+        (answers, inner.update_demand(now))
     };
-    post(shared, messages);
+    send(shared, messages);
     deliver(shared, service, answers);
 }
 
@@ -218,12 +221,12 @@
                 organisation: waiter.organisation,
             }),
         };
-        // If the caller has gone away, the permit is dropped here.
+        // If the caller has disconnected, the permit is dropped here.
         let _ = waiter.sender.send(answer);
     }
 }
 
-/// Keeps queues and caps going for as long as the entry runs.
+/// Polls queues and caps at an interval for as long as the entry runs.
 pub(crate) async fn tick<C: Clock>(shared: Arc<Shared<C>>) {
     let mut ticks = tokio::time::interval(TICK);
     loop {
@@ -232,7 +235,7 @@
         let status = shared.node.status();
         let (services, messages) = {
             let mut inner = shared.admission.lock();
-            inner.follow_all(&shared.node);
+            inner.apply_pending_views(&shared.node);
             if status.standing == Standing::Serving {
                 inner.quota.confirm(Revision(status.in_force.0), now);
             }
@@ -240,14 +243,14 @@
             let services: Vec<Service> = inner.gates.keys().cloned().collect();
             (services, inner.quota.tick(now))
         };
-        post(&shared, messages);
+        send(&shared, messages);
         for service in services {
             poll(&shared, &service);
         }
     }
 }
 
-/// Takes in what a peer says about caps.
+/// Applies a peer's message about caps.
 pub(crate) fn receive<C: Clock>(shared: &Arc<Shared<C>>, from: &Process, message: &quota::Message) {
     let now = shared.clock.now();
     let (services, messages) = {
@@ -255,30 +258,36 @@
         let messages = inner.quota.receive(from, message, now);
         (inner.gates.keys().cloned().collect::<Vec<_>>(), messages)
     };
-    post(shared, messages);
+    send(shared, messages);
     for service in services {
         poll(shared, &service);
     }
 }
 
-fn post<C: Clock>(shared: &Shared<C>, messages: Vec<(Process, quota::Message)>) {
+fn send<C: Clock>(shared: &Shared<C>, messages: Vec<(Process, quota::Message)>) {
     for (to, message) in messages {
         shared.node.send(&to, Body::Quota(message));
     }
 }
 
 impl<C: Clock> Inner<C> {
-    fn poll(&mut self, service: &Service, room: u32, now: Instant) -> Vec<Answer<C>> {
+    fn poll(&mut self, service: &Service, headroom: u32, now: Instant) -> Vec<Answer<C>> {
         let mut commands = Vec::new();
         let Some(gate) = self.gates.get_mut(service) else {
             return Vec::new();
         };
         let (usage, quota) = (&mut self.usage, &self.quota);
         let are_caps_known = self.revision > Revision(0);
-        gate.poll(room, &mut commands, now, &mut rand::rng(), |organisation| {
-            let allowance = quota.allowance(organisation, now);
-            are_caps_known && usage.try_start(organisation, allowance, now)
-        });
+        gate.poll(
+            headroom,
+            &mut commands,
+            now,
+            &mut rand::rng(),
+            |organisation| {
+                let allowance = quota.allowance(organisation, now);
+                are_caps_known && usage.try_start(organisation, allowance, now)
+            },
+        );
         self.answers(service, commands)
     }
 
@@ -292,17 +301,17 @@
             if let Some(waiter) = self.waiting.remove(&(service.clone(), ticket)) {
                 answers.push(Answer { waiter, refusal });
             } else if refusal.is_none() {
-                tracing::error!("a request was started that does not wait");
+                tracing::error!("admitted request is not in the queue");
             }
         }
         answers
     }
 
-    /// Tells the exchange what each capped organisation uses and wants, and
-    /// returns what it asks for.
-    fn demand(&mut self, now: Instant) -> Vec<(Process, quota::Message)> {
+    /// Reports each capped organisation's usage and demand to the quota
+    /// exchange, and returns the exchange's requests to peers.
+    fn update_demand(&mut self, now: Instant) -> Vec<(Process, quota::Message)> {
         let mut queued: Table<Organisation, u32> =
-            self.told.keys().map(|name| (name.clone(), 0)).collect();
+            self.reported.keys().map(|name| (name.clone(), 0)).collect();
         for (name, count) in self.gates.values().flat_map(Gate::demands) {
             let count = u32::try_from(count).unwrap_or(u32::MAX);
             *queued.get_or_insert_with(name.clone(), || 0) += count;
@@ -311,7 +320,7 @@
         for (organisation, queued) in queued.iter() {
             let running = self.usage.running(organisation);
             let wanted = running.saturating_add(*queued);
-            // A start uses a rate up at once: nothing of it stays in use.
+            // A start consumes its unit of the rate at once, so none stays in use.
             let starts = self.usage.rate(organisation, now).saturating_add(*queued);
             let demands = [
                 (Unit::Concurrency, running, wanted),
@@ -327,36 +336,36 @@
             }
             let wanted = wanted.max(starts);
             if wanted == 0 {
-                self.told.remove(organisation);
+                self.reported.remove(organisation);
             } else {
-                self.told.insert(organisation.clone(), wanted);
+                self.reported.insert(organisation.clone(), wanted);
             }
         }
         messages
     }
 
-    /// Takes the caps of each newer revision in order: of one that is missed
-    /// nothing would be lent until a newer one is confirmed.
-    fn follow_all(&mut self, node: &Node<C>) {
+    /// Applies the caps of all pending revisions in order. After a missed
+    /// revision, peers lend no quota until a newer one is confirmed.
+    fn apply_pending_views(&mut self, node: &Node<C>) {
         if self.revision == Revision(0) {
-            self.follow(&node.view());
+            self.apply_view(&node.view());
         }
         loop {
             match self.revisions.try_recv() {
-                Ok(view) => self.follow(&view),
+                Ok(view) => self.apply_view(&view),
                 Err(TryRecvError::Lagged(missed)) => {
-                    tracing::warn!(missed, "caps of revisions were missed");
+                    tracing::warn!(missed, "revisions missed; their caps were not applied");
                 }
                 Err(TryRecvError::Empty | TryRecvError::Closed) => return,
             }
         }
     }
 
-    /// Takes the caps of a newer revision. The first one waits until the
-    /// roster names this entry: a list from before would name no homes.
-    fn follow(&mut self, view: &View) {
+    /// Applies the caps of a newer revision. The first one is deferred until
+    /// the roster lists this entry: an earlier roster would yield no lenders.
+    fn apply_view(&mut self, view: &View) {
         let is_first = self.revision == Revision(0);
-        if view.revision <= self.revision || is_first && view.roster.get(&self.me).is_none() {
+        if view.revision <= self.revision || is_first && view.roster.get(&self.own).is_none() {
             return;
         }
         self.revision = view.revision;
@@ -380,11 +389,11 @@
     }
 }
 
-impl<C: Clock> Drop for Waiting<'_, C> {
+impl<C: Clock> Drop for Queued<'_, C> {
     fn drop(&mut self) {
         let mut inner = self.shared.admission.lock();
-        let answered = inner.waiting.remove(&self.place).is_none();
-        let (service, ticket) = &self.place;
+        let answered = inner.waiting.remove(&self.key).is_none();
+        let (service, ticket) = &self.key;
         if !answered && let Some(gate) = inner.gates.get_mut(service) {
             gate.cancel(self.organisation, *ticket);
         }
--- a/crates/entry/src/agents.rs
+++ b/crates/entry/src/agents.rs
@@ -1,4 +1,4 @@
-//! The links to the agents that an entry knows.
+//! The links from an entry to the agents of its subset of endpoints.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,13 +17,13 @@
 use crate::roster;
 use crate::shared::Shared;
 
-/// The first wait before a lost link is dialled again.
+/// The shortest wait before a lost link is dialled again.
 const REDIAL_MIN: Duration = Duration::from_millis(50);
 
 /// The longest wait before a lost link is dialled again.
 const REDIAL_MAX: Duration = Duration::from_secs(2);
 
-/// What an entry knows of one agent.
+/// The connection to one agent.
 #[derive(Debug)]
 struct Agent {
     address: SocketAddr,
@@ -33,32 +33,32 @@
 
 impl Agent {
     fn dial<C: Clock>(endpoint: &Endpoint, address: SocketAddr, shared: &Arc<Shared<C>>) -> Self {
-        let keep = keep_link(endpoint.clone(), address, Arc::clone(shared));
+        let task = maintain_link(endpoint.clone(), address, Arc::clone(shared));
         Self {
             address,
-            task: tokio::spawn(keep),
+            task: tokio::spawn(task),
             link: None,
         }
     }
 }
 
-/// A link on which the agent has stated its condition.
+/// An open link on which the agent has sent at least one announcement.
 #[derive(Debug)]
 struct Open {
     sender: Sender<Body>,
     terms: Terms,
-    heard: Instant,
+    last_seen: Instant,
 }
 
-/// The links to the agents that an entry knows.
+/// The links to agents, by endpoint.
 #[derive(Debug, Default)]
 pub(crate) struct Agents {
     rows: Mutex<Table<Endpoint, Agent>>,
 }
 
 impl Agents {
-    /// Dials the agents that are new in `wanted` and drops those that are not
-    /// in it any more.
+    /// Dials the agents that `wanted` adds and closes the links to those that
+    /// it no longer lists.
     pub(crate) fn set<C: Clock>(
         &self,
         wanted: &Table<Endpoint, SocketAddr>,
@@ -66,11 +66,11 @@
     ) {
         let mut rows = self.lock();
         rows.retain(|endpoint, agent| {
-            let stays = wanted.get(endpoint) == Some(&agent.address);
-            if !stays {
+            let is_kept = wanted.get(endpoint) == Some(&agent.address);
+            if !is_kept {
                 agent.task.abort();
             }
-            stays
+            is_kept
         });
         for (endpoint, address) in wanted.iter() {
             if !rows.contains(endpoint) {
@@ -79,9 +79,9 @@
         }
     }
 
-    /// Dials the agent of `endpoint` unless it is known already. The link
-    /// stays until the roster or the settings change.
-    pub(crate) fn reach<C: Clock>(&self, endpoint: &Endpoint, shared: &Arc<Shared<C>>) {
+    /// Dials the agent of `endpoint` unless it already has a link or a dial in
+    /// progress. The link is kept until the roster or the settings change.
+    pub(crate) fn ensure_dialled<C: Clock>(&self, endpoint: &Endpoint, shared: &Arc<Shared<C>>) {
         let address = roster::agent(&shared.node.view(), endpoint);
         let mut rows = self.lock();
         if let Some(address) = address.filter(|_| !rows.contains(endpoint)) {
@@ -91,16 +91,16 @@
         }
     }
 
-    /// Returns the agent's incarnation and its age when it was last heard of,
-    /// and when that was.
+    /// Returns the agent's incarnation and age from its last announcement, and
+    /// the time when that was received.
     pub(crate) fn terms(&self, endpoint: &Endpoint) -> Option<(Terms, Instant)> {
         let rows = self.lock();
         let open = rows.get(endpoint)?.link.as_ref()?;
-        Some((open.terms.clone(), open.heard))
+        Some((open.terms.clone(), open.last_seen))
     }
 
-    /// Queues a message to the agent of `endpoint`; without a link, or with a
-    /// full queue, it is dropped and `false` returned.
+    /// Queues a message to the agent of `endpoint`. Drops it and returns
+    /// `false` if there is no link or its queue is full.
     pub(crate) fn send(&self, endpoint: &Endpoint, body: &Body) -> bool {
         let rows = self.lock();
         rows.get(endpoint)
@@ -108,13 +108,14 @@
             .is_some_and(|open| open.sender.try_send(body).is_ok())
     }
 
-    /// Returns how long ago each agent that has a link was heard of.
-    pub(crate) fn heard(&self, now: Instant) -> Vec<(Endpoint, Option<Duration>)> {
+    /// Returns the time since the last announcement of each agent, `None` for
+    /// an agent without an open link.
+    pub(crate) fn last_seen(&self, now: Instant) -> Vec<(Endpoint, Option<Duration>)> {
         self.lock()
             .iter()
             .map(|(endpoint, agent)| {
-                let heard = agent.link.as_ref().map(|open| open.heard);
-                let ago = heard.map(|at| now.saturating_duration_since(at));
+                let last_seen = agent.link.as_ref().map(|open| open.last_seen);
+                let ago = last_seen.map(|at| now.saturating_duration_since(at));
                 (endpoint.clone(), ago)
             })
             .collect()
@@ -124,7 +125,7 @@
         &self,
         endpoint: &Endpoint,
         sender: &Sender<Body>,
-        stated: &Announcement,
+        announcement: &Announcement,
         now: Instant,
     ) -> bool {
         let mut rows = self.lock();
@@ -132,15 +133,15 @@
             return false;
         };
         let terms = Terms {
-            endpoint: stated.endpoint.clone(),
-            incarnation: stated.incarnation,
-            age: stated.age,
+            endpoint: announcement.endpoint.clone(),
+            incarnation: announcement.incarnation,
+            age: announcement.age,
         };
         let is_new = agent.link.is_none();
         agent.link = Some(Open {
             sender: sender.clone(),
             terms,
-            heard: now,
+            last_seen: now,
         });
         is_new
     }
@@ -156,8 +157,9 @@
     }
 }
 
-/// Dials an agent again and again, and serves the link while it lasts.
-async fn keep_link<C: Clock>(endpoint: Endpoint, address: SocketAddr, shared: Arc<Shared<C>>) {
+/// Dials an agent, serves the link until it closes, and redials with
+/// exponential back-off.
+async fn maintain_link<C: Clock>(endpoint: Endpoint, address: SocketAddr, shared: Arc<Shared<C>>) {
     let mut wait = REDIAL_MIN;
     loop {
         match dial::<Body>(address, &shared.options.node.link).await {
@@ -170,7 +172,7 @@
                 shared.mailboxes.link_lost(&endpoint);
                 tracing::info!(%endpoint, "link to the agent lost");
             }
-            Err(error) => tracing::debug!(%error, %endpoint, "link to the agent not made"),
+            Err(error) => tracing::debug!(%error, %endpoint, "link to the agent not opened"),
         }
         tokio::time::sleep(wait.mul_f64(rand::random_range(0.5..1.0))).await;
         wait = (wait * 2).min(REDIAL_MAX);
@@ -186,11 +188,11 @@
     while let Some(received) = receiver.recv().await {
         match received {
             Ok(Body::Reply(reply)) => shared.mailboxes.deliver(endpoint, reply),
-            Ok(Body::Announce(stated)) if stated.endpoint == *endpoint => {
-                take(endpoint, sender, &stated, shared);
+            Ok(Body::Announce(announcement)) if announcement.endpoint == *endpoint => {
+                apply_announcement(endpoint, sender, &announcement, shared);
             }
             Ok(_) => {
-                tracing::warn!(%endpoint, "link closed: not what this agent may send");
+                tracing::warn!(%endpoint, "link closed: message not allowed from this agent");
                 return;
             }
             Err(error) => {
@@ -201,16 +203,16 @@
     }
 }
 
-/// Takes an agent's statement of its endpoint's condition.
-fn take<C: Clock>(
+/// Applies an agent's announcement of its endpoint's state and load.
+fn apply_announcement<C: Clock>(
     endpoint: &Endpoint,
     sender: &Sender<Body>,
-    stated: &Announcement,
+    announcement: &Announcement,
     shared: &Shared<C>,
 ) {
     let now = shared.clock.now();
-    let is_new = shared.agents.open(endpoint, sender, stated, now);
-    let state = if stated.draining {
+    let is_new = shared.agents.open(endpoint, sender, announcement, now);
+    let state = if announcement.draining {
         State::Leaving
     } else {
         State::Serving
@@ -221,18 +223,18 @@
     };
     let report = Report {
         state,
-        slots: stated.slots,
-        total: load(stated.requests),
-        mine: Some(load(stated.mine)),
-        sharers: stated.entries,
+        slots: announcement.slots,
+        total: load(announcement.requests),
+        mine: Some(load(announcement.mine)),
+        sharers: announcement.entries,
         age: Duration::ZERO,
     };
     let until = |millis: u32| Withheld::Until(now + Duration::from_millis(millis.into()));
     let mut router = shared.router();
-    router.withhold(endpoint, stated.withheld.map(until));
+    router.withhold(endpoint, announcement.withheld.map(until));
     if is_new {
         router.set_state(endpoint, state);
-        tracing::info!(%endpoint, %state, "link to the agent made");
+        tracing::info!(%endpoint, %state, "link to the agent opened");
     }
     router.apply_report(endpoint, &report, now);
 }
--- a/crates/entry/src/body.rs
+++ b/crates/entry/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of responses: whole, or pieces sent as they arrive.
+//! Response bodies: complete, or streamed in pieces.
 
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -8,13 +8,13 @@
 use hyper::body::{Frame, SizeHint};
 use tokio::sync::mpsc;
 
-/// The number of pieces that may wait for a slow caller.
+/// The most pieces that are buffered for a slow caller.
 const PIECES_WAITING: usize = 64;
 
 /// The stream to a caller broke before the end of the answer.
 ///
-/// The transport turns it into an incomplete body, so that an answer without
-/// its end never looks whole.
+/// The transport turns it into an incomplete body, so a truncated answer never
+/// looks complete.
 #[derive(Debug, Clone, Copy, Display, Error)]
 #[display("stream to the caller: the answer broke before its end")]
 pub struct Broken;
@@ -22,17 +22,17 @@
 /// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// A body that is known as a whole.
+    /// A complete body.
     Whole(Option<Bytes>),
-    /// A body whose pieces are sent as they arrive.
+    /// A body whose pieces are streamed as they arrive.
     Pieces(mpsc::Receiver<Result<Bytes, Broken>>),
-    /// A body that broke, whose last pieces are on their way.
+    /// A broken body whose last pieces are still being written.
     Breaking,
 }
 
 impl Body {
-    /// Creates a body of pieces and the sender that feeds it. The sender's
-    /// channel closes when the caller goes away.
+    /// Creates a streamed body and the sender of its pieces. The channel closes
+    /// when the caller disconnects.
     pub fn pieces() -> (mpsc::Sender<Result<Bytes, Broken>>, Self) {
         let (sender, receiver) = mpsc::channel(PIECES_WAITING);
         (sender, Self::Pieces(receiver))
@@ -58,8 +58,8 @@
             Self::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
             Self::Pieces(receiver) => match ready!(receiver.poll_recv(context)) {
                 Some(Err(Broken)) => {
-                    // The transport drops what it has not written when the
-                    // body breaks; it writes while the body is pending.
+                    // On a body error the transport discards unwritten data.
+                    // Returning pending once lets it write that data first.
                     *body = Self::Breaking;
                     context.waker().wake_by_ref();
                     Poll::Pending
--- a/crates/entry/src/caller.rs
+++ b/crates/entry/src/caller.rs
@@ -1,4 +1,4 @@
-//! What callers ask over HTTP.
+//! The HTTP interface for callers.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -12,16 +12,16 @@
 use crate::shared::Shared;
 use crate::{addresses, completion, models};
 
-/// The path of the addresses that callers may use.
+/// The path that lists the addresses of entries.
 const ADDRESSES: &str = "/v1/addresses";
 
-/// The path of the models on offer.
+/// The path that lists the available models.
 const MODELS: &str = "/v1/models";
 
-/// The path of tickets.
+/// The path that issues tickets.
 const TICKETS: &str = "/v1/tickets";
 
-/// The paths that model servers answer.
+/// The paths that are routed to model servers.
 const COMPLETIONS: [&str; 2] = ["/v1/chat/completions", "/v1/completions"];
 
 /// Answers one request of a caller.
--- a/crates/entry/src/caps.rs
+++ b/crates/entry/src/caps.rs
@@ -1,4 +1,4 @@
-//! What the exchange of caps is told of a view.
+//! Extracts the inputs of the quota exchange from a view.
 
 use cactusnotch_admit::quota::{self, Cap, Unit};
 use cactusnotch_base::Table;
@@ -13,7 +13,7 @@
     entries.map(|row| row.process.clone()).collect()
 }
 
-/// Returns all caps that are declared.
+/// Returns all declared caps.
 pub(crate) fn all(view: &View) -> Table<quota::Key, Cap> {
     let organisations = view.settings.organisations().iter();
     organisations
@@ -21,8 +21,7 @@
         .collect()
 }
 
-/// Returns the caps of an organisation that are below those that hold without
-/// any declaration.
+/// Returns the caps of an organisation whose limits differ from the defaults.
 fn caps(name: &Organisation, values: &resolved::Organisation) -> Vec<(quota::Key, Cap)> {
     let limits = [
         (
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -1,4 +1,4 @@
-//! Claims of callers' keys, recorded in the platform in batches.
+//! Claims on callers' keys, recorded in the platform in batches.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -18,81 +18,81 @@
 use crate::Options;
 use crate::shared::Shared;
 
-/// The shards over which keys are spread. All entries must agree on it.
+/// The number of shards over which keys are spread. Must be equal in all entries.
 const SHARDS: u32 = 4;
 
-/// How long a shard's owner may take to answer before this entry records the
-/// claim itself.
-const OWNER_PATIENCE: Duration = Duration::from_millis(400);
+/// The time within which a shard's owner must answer before this entry records
+/// the claim itself.
+const OWNER_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long an owner that did not answer is passed over.
-const OWNER_SUSPECT: Duration = Duration::from_secs(5);
+/// How long an owner that did not answer is skipped.
+const SUSPECT_TIME: Duration = Duration::from_secs(5);
 
-/// How long a shard sleeps that waits for nothing.
-const IDLE: Duration = Duration::from_secs(1);
+/// The longest time between two ticks of the shards.
+const IDLE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where the answer to a claim goes.
+/// The recipient of the answer to a claim.
 #[derive(Debug)]
 enum Waiter {
-    Here(oneshot::Sender<Answer>),
+    Local(oneshot::Sender<Answer>),
     Peer(Process),
 }
 
-/// One shard with those who wait for its answers.
+/// One shard and the recipients of its pending answers.
 #[derive(Debug)]
-struct Desk {
+struct Slot {
     shard: Shard,
     waiters: Table<Link, Waiter>,
-    next: Link,
+    next_link: Link,
 }
 
-/// Claims of callers' keys.
+/// Claims on callers' keys.
 #[derive(Debug)]
 pub(crate) struct Claims {
     store: Client,
-    desks: Vec<Mutex<Desk>>,
+    slots: Vec<Mutex<Slot>>,
     changed: Notify,
-    /// Claims that were passed on to the owners of their shards.
-    asked: Mutex<Table<Attempt, oneshot::Sender<Answer>>>,
-    /// The owners that did not answer, and until when they are passed over.
+    /// Claims forwarded to the owners of their shards and not yet answered.
+    forwarded: Mutex<Table<Attempt, oneshot::Sender<Answer>>>,
+    /// Owners that did not answer, and until when they are skipped.
     suspects: Mutex<Table<Process, Instant>>,
 }
 
 impl Claims {
     pub(crate) fn new(options: &Options) -> Self {
-        let desk = |_| {
-            Mutex::new(Desk {
+        let slot = |_| {
+            Mutex::new(Slot {
                 shard: Shard::new(options.claim.clone(), Uuid::new_v4()),
                 waiters: Table::new(),
-                next: Link::default(),
+                next_link: Link::default(),
             })
         };
         Self {
             store: Client::new(&options.node.platform),
-            desks: (0..SHARDS).map(desk).collect(),
+            slots: (0..SHARDS).map(slot).collect(),
             changed: Notify::new(),
-            asked: Mutex::default(),
+            forwarded: Mutex::default(),
             suspects: Mutex::default(),
         }
     }
 
-    fn desk(&self, index: u32) -> MutexGuard<'_, Desk> {
-        let desk = &self.desks[index as usize];
-        desk.lock().unwrap_or_else(PoisonError::into_inner)
+    fn slot(&self, index: u32) -> MutexGuard<'_, Slot> {
+        let slot = &self.slots[index as usize];
+        slot.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     fn wake(&self) -> Option<Instant> {
         let shards = 0..SHARDS;
         shards
-            .filter_map(|shard| self.desk(shard).shard.wake())
+            .filter_map(|shard| self.slot(shard).shard.wake())
             .min()
     }
 
-    fn answered(&self, attempt: Attempt, answer: Answer) {
-        let waiting = lock(&self.asked).remove(&attempt);
-        if let Some(waiting) = waiting {
+    fn complete_forwarded(&self, attempt: Attempt, answer: Answer) {
+        let sender = lock(&self.forwarded).remove(&attempt);
+        if let Some(sender) = sender {
             // The request may have ended in the meantime.
-            let _ = waiting.send(answer);
+            let _ = sender.send(answer);
         }
     }
 
@@ -102,36 +102,38 @@
     }
 }
 
-/// Claims a key and returns what became of it.
+/// Claims a key and returns the result.
 pub(crate) async fn claim<C: Clock>(shared: &Arc<Shared<C>>, claim: Claim) -> Answer {
     let index = owner::shard(&claim.identity, SHARDS);
     let own = &shared.options.node.link.identity.process;
     if let Some(owner) = owner_of(shared, index).filter(|owner| owner != own)
-        && let Some(answer) = ask_peer(shared, &owner, &claim).await
+        && let Some(answer) = forward(shared, &owner, &claim).await
     {
         return answer;
     }
     let (sender, receiver) = oneshot::channel();
-    ask(shared, index, claim, Waiter::Here(sender));
+    submit(shared, index, claim, Waiter::Local(sender));
     receiver.await.unwrap_or(Answer::Unavailable)
 }
 
-/// Takes in what a peer says about claims.
+/// Handles a peer's message about claims.
 pub(crate) fn receive<C: Clock>(shared: &Arc<Shared<C>>, from: &Process, message: claim::Message) {
     match message {
         claim::Message::Ask(claim) => {
             let index = owner::shard(&claim.identity, SHARDS);
-            ask(shared, index, claim, Waiter::Peer(from.clone()));
+            submit(shared, index, claim, Waiter::Peer(from.clone()));
+        }
+        claim::Message::Answer { attempt, answer } => {
+            shared.claims.complete_forwarded(attempt, answer)
         }
-        claim::Message::Answer { attempt, answer } => shared.claims.answered(attempt, answer),
     }
 }
 
-/// Lets the shards do what is due, for as long as the entry runs.
+/// Ticks the shards when they are due, for as long as the entry runs.
 pub(crate) async fn tick<C: Clock>(shared: Arc<Shared<C>>) {
     loop {
         let now = shared.clock.now();
-        let wake = shared.claims.wake().unwrap_or(now + IDLE);
+        let wake = shared.claims.wake().unwrap_or(now + IDLE_INTERVAL);
         tokio::select! {
             () = tokio::time::sleep(wake.remaining()) => {}
             () = shared.claims.changed.notified() => {}
@@ -142,7 +144,8 @@
     }
 }
 
-/// Returns the entry that is asked first for a shard.
+/// Returns the owner of a shard among the serving entries that are not
+/// suspected.
 fn owner_of<C: Clock>(shared: &Shared<C>, index: u32) -> Option<Process> {
     let now = shared.clock.now();
     let view = shared.node.view();
@@ -156,29 +159,29 @@
     owner::owner(index, &live).cloned()
 }
 
-async fn ask_peer<C: Clock>(shared: &Shared<C>, owner: &Process, claim: &Claim) -> Option<Answer> {
+async fn forward<C: Clock>(shared: &Shared<C>, owner: &Process, claim: &Claim) -> Option<Answer> {
     let attempt = claim.holder.attempt;
     let (sender, receiver) = oneshot::channel();
-    lock(&shared.claims.asked).insert(attempt, sender);
+    lock(&shared.claims.forwarded).insert(attempt, sender);
     let message = claim::Message::Ask(claim.clone());
     shared.node.send(owner, Body::Claim(message));
-    let answer = tokio::time::timeout(OWNER_PATIENCE, receiver).await;
-    lock(&shared.claims.asked).remove(&attempt);
+    let answer = tokio::time::timeout(OWNER_TIMEOUT, receiver).await;
+    lock(&shared.claims.forwarded).remove(&attempt);
     if let Ok(answer) = answer {
         return answer.ok();
     }
     metrics::counter!(metric::ENTRY_CLAIM_OWNER_TIMEOUTS).increment(1);
-    let until = shared.clock.now() + OWNER_SUSPECT;
+    let until = shared.clock.now() + SUSPECT_TIME;
     lock(&shared.claims.suspects).insert(owner.clone(), until);
     None
 }
 
-fn ask<C: Clock>(shared: &Arc<Shared<C>>, index: u32, claim: Claim, waiter: Waiter) {
+fn submit<C: Clock>(shared: &Arc<Shared<C>>, index: u32, claim: Claim, waiter: Waiter) {
     let link = {
-        let mut desk = shared.claims.desk(index);
-        let link = desk.next;
-        desk.next = Link(link.0 + 1);
-        desk.waiters.insert(link, waiter);
+        let mut slot = shared.claims.slot(index);
+        let link = slot.next_link;
+        slot.next_link = Link(link.0 + 1);
+        slot.waiters.insert(link, waiter);
         link
     };
     step(shared, index, Event::Ask { link, claim });
@@ -187,16 +190,16 @@
 
 fn step<C: Clock>(shared: &Arc<Shared<C>>, index: u32, event: Event) {
     let commands = {
-        let mut desk = shared.claims.desk(index);
-        desk.shard
+        let mut slot = shared.claims.slot(index);
+        slot.shard
             .step(event, shared.clock.now(), shared.clock.wall())
     };
     for command in commands {
-        carry_out(shared, index, command);
+        execute(shared, index, command);
     }
 }
 
-fn carry_out<C: Clock>(shared: &Arc<Shared<C>>, index: u32, command: Command) {
+fn execute<C: Clock>(shared: &Arc<Shared<C>>, index: u32, command: Command) {
     match command {
         Command::Put { number, batch } => {
             metrics::counter!(metric::ENTRY_CLAIM_BATCHES).increment(1);
@@ -211,7 +214,7 @@
         }
         Command::Delete { number } => call(shared, index, move |store| {
             if let Err(error) = calls::delete(store, index, number) {
-                tracing::debug!(%error, "old batch of claims not deleted");
+                tracing::debug!(%error, "obsolete batch of claims not deleted");
             }
             None
         }),
@@ -220,10 +223,10 @@
             attempt,
             answer,
         } => {
-            let waiter = shared.claims.desk(index).waiters.remove(&link);
+            let waiter = shared.claims.slot(index).waiters.remove(&link);
             match waiter {
                 // The request may have ended in the meantime.
-                Some(Waiter::Here(sender)) => drop(sender.send(answer)),
+                Some(Waiter::Local(sender)) => drop(sender.send(answer)),
                 Some(Waiter::Peer(peer)) => {
                     let message = claim::Message::Answer { attempt, answer };
                     shared.node.send(&peer, Body::Claim(message));
@@ -234,7 +237,8 @@
     }
 }
 
-/// Makes a blocking call on a thread of its own and takes its result in.
+/// Runs a blocking store call on the blocking pool and feeds its result to the
+/// shard.
 fn call<C: Clock>(
     shared: &Arc<Shared<C>>,
     index: u32,
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -29,7 +29,7 @@
 use crate::admission;
 use crate::body::Body;
 use crate::drive::{self, Job};
-use crate::manner::{LAST_EVENT_ID, Manner, ORGANISATION, text};
+use crate::headers::{Headers, LAST_EVENT_ID, ORGANISATION, text};
 use crate::output::Output;
 use crate::problem::Problem;
 use crate::shared::Shared;
@@ -38,15 +38,15 @@
 /// The name of the entry's span of a request.
 const SPAN: &str = "entry";
 
-/// When to come back to an entry that takes no work.
+/// The `Retry-After` of an entry that accepts no work.
 const NOT_READY_RETRY: Duration = Duration::from_secs(1);
 
-/// The bytes of a prompt that make about one token.
+/// The approximate number of bytes per token of a prompt.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// The part of a completion request that routing looks at.
+/// The part of a completion request that routing reads.
 #[derive(Debug, Deserialize)]
-struct Ask {
+struct Target {
     model: String,
 }
 
@@ -55,13 +55,13 @@
     shared: &Arc<Shared<C>>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Problem> {
-    let manner = Manner::read(request.headers())?;
+    let headers = Headers::read(request.headers())?;
     let (method, path) = target(&request);
     let payload = receive(shared, request).await?;
-    let ask: Ask = serde_json::from_slice(&payload)
+    let target: Target = serde_json::from_slice(&payload)
         .map_err(|error| Problem::malformed(format!("body: {error}")))?;
-    let service = Service::Model(Model::new(ask.model));
-    start(shared, service, manner, method, path, payload).await
+    let service = Service::Model(Model::new(target.model));
+    start(shared, service, headers, method, path, payload).await
 }
 
 /// Forwards a call to a plain service.
@@ -69,37 +69,37 @@
     shared: &Arc<Shared<C>>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Problem> {
-    let service = plain(&shared.settings(), &request)?;
-    let manner = Manner::read(request.headers())?;
+    let service = plain_service(&shared.settings(), &request)?;
+    let headers = Headers::read(request.headers())?;
     let (method, path) = target(&request);
     let payload = receive(shared, request).await?;
-    start(shared, service, manner, method, path, payload).await
+    start(shared, service, headers, method, path, payload).await
 }
 
 async fn start<C: Clock>(
     shared: &Arc<Shared<C>>,
     service: Service,
-    manner: Manner,
+    headers: Headers,
     method: String,
     path: String,
     payload: Bytes,
 ) -> Result<Response<Body>, Problem> {
-    stand(shared)?;
+    check_ready(shared)?;
     let settings = shared.settings();
     let organisation = settings
-        .organisation(manner.organisation.as_str())
-        .ok_or_else(|| unknown_organisation(&manner.organisation))?;
-    check_allowed(&settings, &service, &manner.organisation)?;
+        .organisation(headers.organisation.as_str())
+        .ok_or_else(|| unknown_organisation(&headers.organisation))?;
+    check_allowed(&settings, &service, &headers.organisation)?;
     let call = Call {
         method,
         path,
-        content_type: manner.content_type.clone(),
+        content_type: headers.content_type.clone(),
         priority: u8::try_from(organisation.priority).unwrap_or(u8::MAX),
         payload,
     };
-    let order = order(shared, organisation, &service, &manner, &call)?;
-    let permit = admission::enter(shared, &service, &manner.organisation, organisation).await?;
-    let seed = xxhash_rust::xxh3::xxh3_64(manner.organisation.as_str().as_bytes());
+    let order = order(shared, organisation, &service, &headers, &call)?;
+    let permit = admission::enter(shared, &service, &headers.organisation, organisation).await?;
+    let seed = xxhash_rust::xxh3::xxh3_64(headers.organisation.as_str().as_bytes());
     let job = Job {
         permit,
         order,
@@ -107,15 +107,15 @@
         tokens: u32::try_from(call.payload.len() / BYTES_PER_TOKEN).unwrap_or(u32::MAX),
         prefix: prefix::blocks(seed, &call.payload),
         call,
-        span: span(shared, manner.trace.as_deref()),
+        span: span(shared, headers.trace.as_deref()),
     };
     let (output, response) = Output::new();
     tokio::spawn(drive::run(Arc::clone(shared), job, output));
-    response.await.map_err(|_| lost())
+    response.await.map_err(|_| task_failed())
 }
 
-/// Refuses work while the settings that the entry holds may be old ones.
-fn stand<C: Clock>(shared: &Shared<C>) -> Result<(), Problem> {
+/// Refuses work while the entry's settings may be out of date.
+fn check_ready<C: Clock>(shared: &Shared<C>) -> Result<(), Problem> {
     match shared.node.standing() {
         Standing::Serving | Standing::Leaving => Ok(()),
         Standing::Joining | Standing::Isolated | Standing::Superseded => Err(Problem::new(
@@ -133,7 +133,7 @@
     shared: &Shared<C>,
     organisation: &resolved::Organisation,
     service: &Service,
-    manner: &Manner,
+    headers: &Headers,
     call: &Call,
 ) -> Result<Order, Problem> {
     let is_idempotent = match service {
@@ -143,20 +143,23 @@
             routes.any(|route| route.prefix == *prefix && route.repeatable)
         }
     };
-    let repeat = manner.repeat.unwrap_or(if is_idempotent {
+    let repeat = headers.repeat.unwrap_or(if is_idempotent {
         Repeat::Idempotent
     } else {
         Repeat::Once
     });
-    if manner.after > Sequence(0) && (manner.key.is_none() || repeat == Repeat::Idempotent) {
-        // Another run may make other pieces, and only the keys of
-        // non-idempotent requests say where their run is.
+    if headers.after > Sequence(0) && (headers.key.is_none() || repeat == Repeat::Idempotent) {
+        // Another run may produce different pieces, and only the keys of
+        // non-idempotent requests identify the agent of their run.
         return Err(Problem::malformed(format!(
             "header {LAST_EVENT_ID}: only a non-idempotent request with a key can be resumed"
         )));
     }
-    let (key, way) = match &manner.key {
-        Some(key) => (key.clone(), way(shared, organisation, manner, key, repeat)?),
+    let (key, way) = match &headers.key {
+        Some(key) => (
+            key.clone(),
+            way(shared, organisation, headers, key, repeat)?,
+        ),
         None => (Key::new(Uuid::new_v4().to_string()), Way::Private),
     };
     let linger = match way {
@@ -165,24 +168,24 @@
     };
     Ok(Order {
         identity: Identity {
-            organisation: manner.organisation.clone(),
+            organisation: headers.organisation.clone(),
             key,
         },
         digest: digest(call),
         repeat,
         way,
         conversation: Attempt(Uuid::new_v4()),
-        after: manner.after,
+        after: headers.after,
         deadline: shared.clock.now() + organisation.deadline,
         linger_ms: u64::try_from(linger.as_millis()).unwrap_or(u64::MAX),
     })
 }
 
-/// Returns how the agent that may run a keyed request is found.
+/// Returns the mode by which the agent of a keyed request is selected.
 fn way<C: Clock>(
     shared: &Shared<C>,
     organisation: &resolved::Organisation,
-    manner: &Manner,
+    headers: &Headers,
     key: &Key,
     repeat: Repeat,
 ) -> Result<Way, Problem> {
@@ -192,14 +195,14 @@
         Bare::Refuse
     };
     let wall = shared.clock.wall();
-    let memory = &shared.options.claim;
+    let claim = &shared.options.claim;
     let options = claim::Options {
-        lifetime: organisation.key_lifetime.min(memory.lifetime),
-        ..memory.clone()
+        lifetime: organisation.key_lifetime.min(claim.lifetime),
+        ..claim.clone()
     };
     match kind::way(
         key,
-        &manner.organisation,
+        &headers.organisation,
         &shared.signer,
         bare,
         &options,
@@ -222,19 +225,19 @@
     shared: &Arc<Shared<C>>,
     request: Request<Incoming>,
 ) -> Result<Response<Body>, Problem> {
-    stand(shared)?;
-    let manner = Manner::read(request.headers())?;
+    check_ready(shared)?;
+    let headers = Headers::read(request.headers())?;
     let payload = receive(shared, request).await?;
-    let wish = serde_json::from_slice(&payload)
+    let requirement = serde_json::from_slice(&payload)
         .map_err(|error| Problem::malformed(format!("body: {error}")))?;
     let settings = shared.settings();
     if settings
-        .organisation(manner.organisation.as_str())
+        .organisation(headers.organisation.as_str())
         .is_none()
     {
-        return Err(unknown_organisation(&manner.organisation));
+        return Err(unknown_organisation(&headers.organisation));
     }
-    tickets::issue(shared, manner.organisation, &wish)
+    tickets::issue(shared, headers.organisation, &requirement)
 }
 
 fn target(request: &Request<Incoming>) -> (String, String) {
@@ -245,7 +248,7 @@
     (request.method().to_string(), path)
 }
 
-/// Reads the body of a request, within the bounds of size and time.
+/// Reads the body of a request within the limits on size and time.
 async fn receive<C: Clock>(
     shared: &Shared<C>,
     request: Request<Incoming>,
@@ -272,7 +275,7 @@
     }
 }
 
-/// Returns a hash of everything that makes two calls the same.
+/// Returns a hash over the method, path and payload of a call.
 fn digest(call: &Call) -> u64 {
     let mut hasher = Xxh3::new();
     for part in [call.method.as_bytes(), call.path.as_bytes(), &call.payload] {
@@ -282,7 +285,7 @@
     hasher.digest()
 }
 
-/// Starts the entry's span, in the caller's trace if it named one.
+/// Starts the entry's span, within the caller's trace if the request has one.
 fn span<C: Clock>(shared: &Shared<C>, header: Option<&str>) -> Span<C> {
     let mut random = rand::rng();
     let clock = shared.clock.clone();
@@ -293,7 +296,7 @@
     Span::root(SPAN, Context::root(&mut random, is_sampled), clock)
 }
 
-/// Refuses a model that no group serves to the organisation.
+/// Refuses a model that no group serves for the organisation.
 fn check_allowed(
     settings: &Resolved,
     service: &Service,
@@ -311,9 +314,9 @@
     }
 }
 
-/// Returns the plain service that the caller's organisation has under the
+/// Returns the plain service that the caller's organisation declares for the
 /// path of a request.
-fn plain(settings: &Resolved, request: &Request<Incoming>) -> Result<Service, Problem> {
+fn plain_service(settings: &Resolved, request: &Request<Incoming>) -> Result<Service, Problem> {
     let path = request.uri().path();
     let absent = || Problem::absent(format!("no service of the organisation under {path}"));
     let name = text(request.headers(), ORGANISATION)?.ok_or_else(absent)?;
@@ -332,7 +335,7 @@
     )
 }
 
-fn lost() -> Problem {
+fn task_failed() -> Problem {
     Problem::new(
         "internal",
         "The entry failed",
--- a/crates/entry/src/drive.rs
+++ b/crates/entry/src/drive.rs
@@ -1,4 +1,4 @@
-//! The course of one request: the exchange's commands carried out.
+//! Drives one request by executing the commands of its exchange.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -24,20 +24,20 @@
 use crate::output::Output;
 use crate::shared::Shared;
 
-/// What the span says of a request whose caller went away.
-const GONE: &str = "caller-gone";
+/// The outcome of a request whose caller disconnected.
+const CALLER_GONE: &str = "caller-gone";
 
-/// How often a link that is being made is looked at.
-const REACH_GLANCE: Duration = Duration::from_millis(10);
+/// The interval at which a link that is being opened is polled.
+const LINK_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How many times a link that is being made is looked at.
-const REACH_GLANCES: u32 = 30;
+/// How many times a link that is being opened is polled.
+const LINK_POLLS_MAX: u32 = 30;
 
 /// A request that is ready to be driven.
 #[derive(Debug)]
 pub(crate) struct Job<C: Clock> {
     /// Held until the request has ended.
-    #[expect(dead_code, reason = "it is given back when it is dropped")]
+    #[expect(dead_code, reason = "it is released on drop")]
     pub(crate) permit: Permit<C>,
     pub(crate) order: Order,
     pub(crate) service: Service,
@@ -47,7 +47,7 @@
     pub(crate) span: Span<C>,
 }
 
-/// The request with its decision and its place in the entry's tables.
+/// A request with its exchange and its state in the entry.
 #[derive(Debug)]
 struct Drive<C: Clock> {
     shared: Arc<Shared<C>>,
@@ -59,8 +59,8 @@
     pieces: u32,
     started: Instant,
     output: Output,
-    /// How the request ended, for its span.
-    ended: &'static str,
+    /// The outcome of the request, for its span and its counter.
+    outcome: &'static str,
 }
 
 /// Drives a request from its arrival to its end.
@@ -83,9 +83,9 @@
         pieces: 0,
         started: now,
         output,
-        ended: GONE,
+        outcome: CALLER_GONE,
     };
-    drive.carry_out(commands).await;
+    drive.execute(commands).await;
     while let Some(wake) = drive.exchange.wake() {
         let event = tokio::select! {
             event = events.recv() => event.unwrap_or(Event::Timer),
@@ -93,12 +93,12 @@
             () = drive.output.closed() => Event::CallerGone,
         };
         let commands = drive.step(event);
-        drive.carry_out(commands).await;
+        drive.execute(commands).await;
     }
     drive.finish_route(End::Inconclusive);
-    drive.hang_up();
-    metrics::counter!(metric::ENTRY_REQUESTS, "outcome" => drive.ended).increment(1);
-    drive.job.span.finish(drive.ended);
+    drive.close_mailbox();
+    metrics::counter!(metric::ENTRY_REQUESTS, "outcome" => drive.outcome).increment(1);
+    drive.job.span.finish(drive.outcome);
 }
 
 impl<C: Clock> Drive<C> {
@@ -111,10 +111,10 @@
         self.exchange.step(event, now, &mut self.shared.budget())
     }
 
-    /// Carries commands out, and those that follow from them at once.
-    async fn carry_out(&mut self, commands: Vec<Command>) {
-        let mut waiting = std::collections::VecDeque::from(commands);
-        while let Some(command) = waiting.pop_front() {
+    /// Executes commands, and those that follow from their events.
+    async fn execute(&mut self, commands: Vec<Command>) {
+        let mut queue = std::collections::VecDeque::from(commands);
+        while let Some(command) = queue.pop_front() {
             let follow = match command {
                 Command::Route { only, avoid } => Some(self.route(only.as_ref(), &avoid).await),
                 Command::Claim(claim) => {
@@ -129,7 +129,7 @@
                 }
             };
             if let Some(event) = follow {
-                waiting.extend(self.step(event));
+                queue.extend(self.step(event));
             }
         }
     }
@@ -137,7 +137,7 @@
     async fn route(&mut self, only: Option<&Endpoint>, avoid: &[Endpoint]) -> Event {
         self.finish_route(End::Failed);
         let terms = match only {
-            Some(endpoint) => self.reached(endpoint).await,
+            Some(endpoint) => self.wait_for_link(endpoint).await,
             None => self.choose(avoid),
         };
         match terms {
@@ -150,16 +150,16 @@
         }
     }
 
-    /// Returns the terms of the one agent that may run the request, after a
-    /// short wait for a link if there is none yet.
-    async fn reached(&self, endpoint: &Endpoint) -> Option<(Terms, Instant)> {
-        for _ in 0..REACH_GLANCES {
+    /// Returns the terms of the only agent that may run the request. Dials it
+    /// and waits briefly if there is no link yet.
+    async fn wait_for_link(&self, endpoint: &Endpoint) -> Option<(Terms, Instant)> {
+        for _ in 0..LINK_POLLS_MAX {
             let terms = self.shared.agents.terms(endpoint);
             if terms.is_some() {
                 return terms;
             }
-            self.shared.agents.reach(endpoint, &self.shared);
-            tokio::time::sleep(REACH_GLANCE).await;
+            self.shared.agents.ensure_dialled(endpoint, &self.shared);
+            tokio::time::sleep(LINK_POLL_INTERVAL).await;
         }
         self.shared.agents.terms(endpoint)
     }
@@ -194,7 +194,7 @@
 
     fn send(&mut self, endpoint: &Endpoint, request: Request) -> Option<Event> {
         let attempt = request.attempt();
-        self.converse(attempt, endpoint);
+        self.open_mailbox(attempt, endpoint);
         let is_run = matches!(request, Request::Run(_));
         let call = is_run.then(|| self.job.call.clone());
         let body = Body::Dispatch(Box::new(Dispatch {
@@ -208,15 +208,15 @@
         if is_run {
             return Some(Event::Unsent(attempt));
         }
-        // A question is asked again until its time is up.
-        self.shared.agents.reach(endpoint, &self.shared);
+        // The exchange repeats a query until its timeout.
+        self.shared.agents.ensure_dialled(endpoint, &self.shared);
         None
     }
 
-    /// Lets the replies of a conversation come to this request.
-    fn converse(&mut self, conversation: Attempt, endpoint: &Endpoint) {
+    /// Directs the replies of a conversation to this request.
+    fn open_mailbox(&mut self, conversation: Attempt, endpoint: &Endpoint) {
         if self.conversation != Some(conversation) {
-            self.hang_up();
+            self.close_mailbox();
         }
         self.conversation = Some(conversation);
         let sender = self.sender.clone();
@@ -225,7 +225,7 @@
             .open(conversation, endpoint.clone(), sender);
     }
 
-    fn hang_up(&mut self) {
+    fn close_mailbox(&mut self) {
         if let Some(conversation) = self.conversation.take() {
             self.shared.mailboxes.close(conversation);
         }
@@ -241,12 +241,12 @@
         if let Some(routed) = &mut self.routed {
             self.shared.router().first_piece(routed, now);
         }
-        let is_taken = self.output.piece(sequence, data).await;
-        (!is_taken).then_some(Event::CallerGone)
+        let is_accepted = self.output.piece(sequence, data).await;
+        (!is_accepted).then_some(Event::CallerGone)
     }
 
     async fn finish(&mut self, answer: Answer) {
-        self.ended = match &answer {
+        self.outcome = match &answer {
             Answer::Whole { .. } => "ok",
             Answer::Refused { outcome, .. } => label(*outcome),
         };
--- a/crates/entry/src/manner.rs
+++ b/crates/entry/src/headers.rs
@@ -1,4 +1,4 @@
-//! What a caller says about a request in its headers.
+//! The headers of callers' requests.
 
 use cactusnotch_base::name::Organisation;
 use cactusnotch_base::number::Sequence;
@@ -12,18 +12,18 @@
 /// The header that names the caller's organisation.
 pub(crate) const ORGANISATION: &str = "openai-organization";
 
-/// The header that names a request across retries.
+/// The header that identifies a request across retries.
 const IDEMPOTENCY_KEY: &str = "idempotency-key";
 
-/// The header that says whether a request may be repeated.
+/// The header that states whether a request is idempotent.
 const IDEMPOTENT: &str = "cactusnotch-idempotent";
 
-/// The header that names the last event that a caller has.
+/// The header that names the last event that a caller has received.
 pub(crate) const LAST_EVENT_ID: &str = "last-event-id";
 
-/// What a caller said about a request besides its payload.
+/// The values of a request's headers.
 #[derive(Debug)]
-pub(crate) struct Manner {
+pub(crate) struct Headers {
     pub(crate) organisation: Organisation,
     pub(crate) key: Option<Key>,
     pub(crate) repeat: Option<Repeat>,
@@ -32,7 +32,7 @@
     pub(crate) content_type: Option<String>,
 }
 
-impl Manner {
+impl Headers {
     /// Reads the headers of a request.
     pub(crate) fn read(headers: &HeaderMap) -> Result<Self, Problem> {
         let organisation = text(headers, ORGANISATION)?
@@ -63,7 +63,7 @@
     }
 }
 
-/// Returns a header's text.
+/// Returns the text of a header, `None` if it is absent.
 pub(crate) fn text<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Problem> {
     headers
         .get(name)
--- a/crates/entry/src/lib.rs
+++ b/crates/entry/src/lib.rs
@@ -1,8 +1,8 @@
 //! The entry of cactusnotch: the process that callers connect to.
 //!
-//! An entry takes callers' requests over HTTP, lets the routing and attempt
-//! decisions say what becomes of each, and talks to the agents beside the
-//! endpoints over links. Operators see its status on a port of its own.
+//! An entry accepts callers' requests over HTTP, applies the routing and
+//! attempt decisions to each, and exchanges messages with the agents beside
+//! the endpoints over links. A separate port serves its status to operators.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -15,20 +15,20 @@
 mod claims;
 mod completion;
 mod drive;
+mod headers;
 mod mailbox;
-mod manner;
 mod models;
 mod operator;
 mod options;
 mod output;
 mod peers;
 mod problem;
+mod queueing;
 mod roster;
 mod server;
 mod shared;
 mod status;
 mod stopping;
-mod terms;
 mod tickets;
 
 pub use options::Options;
--- a/crates/entry/src/mailbox.rs
+++ b/crates/entry/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! The way of agents' replies to the requests that wait for them.
+//! Dispatches agents' replies to the requests that await them.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
@@ -9,8 +9,8 @@
 use cactusnotch_telemetry::metric;
 use tokio::sync::mpsc;
 
-/// The replies that may wait for one request; one that falls further behind
-/// loses its mailbox.
+/// The most replies that are queued for one request; on overflow its mailbox
+/// is closed.
 pub(crate) const DEPTH: usize = 8192;
 
 #[derive(Debug)]
@@ -19,15 +19,15 @@
     sender: mpsc::Sender<Event>,
 }
 
-/// The mailboxes of the requests in flight, by the name of their conversation
-/// with an agent.
+/// The mailboxes of the requests in flight, by the attempt that identifies
+/// their conversation with an agent.
 #[derive(Debug, Default)]
 pub(crate) struct Mailboxes {
     slots: Mutex<Table<Attempt, Slot>>,
 }
 
 impl Mailboxes {
-    /// Lets replies of `endpoint` in `conversation` go to `sender`.
+    /// Directs replies of `endpoint` in `conversation` to `sender`.
     pub(crate) fn open(
         &self,
         conversation: Attempt,
@@ -43,8 +43,8 @@
         self.lock().remove(&conversation);
     }
 
-    /// Passes on a reply that came from `endpoint`. A reply in a conversation
-    /// that has ended, or that is held with another endpoint, is dropped.
+    /// Delivers a reply from `endpoint`. Drops a reply whose conversation has
+    /// ended or belongs to another endpoint.
     pub(crate) fn deliver(&self, endpoint: &Endpoint, reply: Reply) {
         let conversation = reply.attempt();
         let mut slots = self.lock();
@@ -60,7 +60,8 @@
         }
     }
 
-    /// Tells every request that waits for `endpoint` that its link is gone.
+    /// Notifies every request with a conversation with `endpoint` that the
+    /// link was lost.
     pub(crate) fn link_lost(&self, endpoint: &Endpoint) {
         self.lock().retain(|_, slot| {
             slot.endpoint != *endpoint
--- a/crates/entry/src/models.rs
+++ b/crates/entry/src/models.rs
@@ -1,4 +1,4 @@
-//! The models on offer.
+//! The list of available models.
 
 use bytes::Bytes;
 use cactusnotch_base::Clock;
@@ -22,7 +22,7 @@
     object: &'static str,
 }
 
-/// Lists the models that endpoints known here serve.
+/// Lists the models that the endpoints in this entry's routing table serve.
 pub(crate) fn answer<C: Clock>(shared: &Shared<C>) -> Response<Body> {
     let data = shared
         .router()
--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask over HTTP.
+//! The HTTP interface for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use crate::shared::Shared;
 use crate::status::{Lagging, Observation, Status};
 
-/// Answers one call of an operator.
+/// Answers one request of an operator.
 pub(crate) fn answer<C: Clock>(shared: &Arc<Shared<C>>, request: &Request) -> Response {
     match (request.method(), request.url().as_str()) {
         ("GET", "/status") => Response::json(&status(shared)),
@@ -37,9 +37,9 @@
 }
 
 fn endpoints<C: Clock>(shared: &Shared<C>) -> Vec<Observation> {
-    let heard = shared.agents.heard(shared.clock.now());
+    let last_seen = shared.agents.last_seen(shared.clock.now());
     let router = shared.router();
-    heard
+    last_seen
         .into_iter()
         .map(|(endpoint, ago)| Observation {
             state: router.state(&endpoint).unwrap_or_default().to_string(),
--- a/crates/entry/src/options.rs
+++ b/crates/entry/src/options.rs
@@ -1,4 +1,4 @@
-//! How an entry runs.
+//! Configuration of an entry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,18 +9,18 @@
 use cactusnotch_node as node;
 use cactusnotch_route as route;
 
-/// How an entry runs.
+/// Configuration of an entry.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The address to take callers' connections on.
+    /// The address to listen on for callers.
     pub listen: SocketAddr,
-    /// The address to take operators' calls on.
+    /// The address to listen on for operators.
     pub operator_listen: SocketAddr,
-    /// The address to take links of peers on.
+    /// The address to listen on for links of peers.
     pub peer_listen: SocketAddr,
-    /// The address that callers are told, if not the one listened on.
+    /// The address announced to callers, if not the one listened on.
     pub advertise: Option<SocketAddr>,
-    /// The address that peers are told, if not the one listened on.
+    /// The address announced to peers, if not the one listened on.
     pub peer_advertise: Option<SocketAddr>,
     /// The region of the entry's data centre.
     pub region: Region,
@@ -29,13 +29,13 @@
     pub node: node::Options,
     /// The routing decision.
     pub route: route::Options,
-    /// The times and counts of claims of keys.
+    /// The timeouts and limits of claims on keys.
     pub claim: claim::Options,
-    /// The times that bound a request.
+    /// The timeouts of a request.
     pub attempt: attempt::Options,
-    /// What a first attempt earns, in thousandths of a retry.
+    /// The retry budget that a first attempt deposits, in thousandths of a retry.
     pub retry_fraction: u32,
-    /// The most retries that are stored.
+    /// The largest retry budget, in retries.
     pub retry_store: u32,
     /// The largest body of a caller's request, in bytes.
     pub body_limit: usize,
@@ -46,7 +46,7 @@
     /// The fraction of requests without a trace of their own whose spans are
     /// written.
     pub trace_fraction: f64,
-    /// How long a run goes on after its caller went away, if the caller can
-    /// come back for the answer.
+    /// How long a run continues after its caller disconnected, if the caller
+    /// can resume the answer.
     pub linger: Duration,
 }
--- a/crates/entry/src/output.rs
+++ b/crates/entry/src/output.rs
@@ -1,4 +1,4 @@
-//! The answer to a caller, as it grows.
+//! The response to a caller, written as pieces arrive.
 
 use bytes::{Bytes, BytesMut};
 use cactusnotch_attempt::{Answer, Reason};
@@ -15,7 +15,7 @@
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The answer to a caller, as it grows.
+/// The response to a caller, written as pieces arrive.
 #[derive(Debug)]
 pub(crate) struct Output {
     state: State,
@@ -34,14 +34,14 @@
 }
 
 impl Output {
-    /// Creates the output and the place where its response arrives.
+    /// Creates the output and the receiver of its response.
     pub(crate) fn new() -> (Self, oneshot::Receiver<Response<Body>>) {
         let (sender, receiver) = oneshot::channel();
         let state = State::Waiting(sender);
         (Self { state }, receiver)
     }
 
-    /// Waits until the caller has gone away.
+    /// Waits until the caller has disconnected.
     pub(crate) async fn closed(&mut self) {
         match &mut self.state {
             State::Waiting(sender) => sender.closed().await,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Sends a piece; returns `false` if the caller has gone away.
+    /// Sends a piece; returns `false` if the caller has disconnected.
     pub(crate) async fn piece(&mut self, sequence: Sequence, data: Bytes) -> bool {
         if sequence == Sequence(1) {
             return Head::decode(&data).is_ok_and(|head| self.open(&head));
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Ends the answer, whole or not.
+    /// Ends the response, complete or not.
     pub(crate) async fn finish(&mut self, answer: Answer) {
         let state = std::mem::replace(&mut self.state, State::Closed);
         let problem = match answer {
@@ -85,7 +85,7 @@
                 retry_after,
             } => refusal(outcome, &reason).after(retry_after),
         };
-        // A caller that has gone away needs no answer.
+        // Send errors mean that the caller has disconnected.
         match state {
             State::Waiting(sender) => drop(sender.send(problem.response())),
             State::Open {
@@ -114,7 +114,8 @@
     }
 }
 
-/// Returns the head of an answer whose first pieces the caller has.
+/// Returns the head of a resumed answer, whose first pieces the caller has
+/// received.
 fn resumed() -> Head {
     Head {
         status: StatusCode::OK.as_u16(),
@@ -134,7 +135,7 @@
     response
 }
 
-/// Adds the number after which a caller resumes to an event.
+/// Prefixes an event with its sequence number, from which a caller can resume.
 fn numbered(sequence: Sequence, event: &[u8]) -> Bytes {
     let mut numbered = BytesMut::from(format!("id: {sequence}\n").as_bytes());
     numbered.extend_from_slice(event);
--- a/crates/entry/src/peers.rs
+++ b/crates/entry/src/peers.rs
@@ -1,4 +1,4 @@
-//! Links that peers make to an entry.
+//! Links that peers open to an entry.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::shared::Shared;
 use crate::{admission, claims};
 
-/// Takes links from peers for as long as the entry runs.
+/// Accepts links from peers for as long as the entry runs.
 pub(crate) async fn accept<C: Clock>(mut listener: Listener<Body>, shared: Arc<Shared<C>>) {
     while let Some(accepted) = listener.accept().await {
         match accepted {
@@ -30,7 +30,7 @@
             Ok(Body::Claim(message)) => claims::receive(&shared, &peer, message),
             Ok(Body::Quota(message)) => admission::receive(&shared, &peer, &message),
             Ok(_) => {
-                tracing::warn!(%peer, "link closed: not what a peer may send to an entry");
+                tracing::warn!(%peer, "link closed: message not allowed from a peer");
                 return;
             }
             Err(error) => {
--- a/crates/entry/src/problem.rs
+++ b/crates/entry/src/problem.rs
@@ -10,18 +10,18 @@
 
 use crate::body::Body;
 
-/// The header that says what is known of a request without a whole answer.
+/// The header that carries the outcome of a request without a complete answer.
 pub const OUTCOME_HEADER: &str = "cactusnotch-outcome";
 
 const MEDIA_TYPE: &str = "application/problem+json";
 
-/// A refusal or a failure as it is told to a caller (RFC 9457).
+/// A refusal or a failure as sent to a caller (RFC 9457).
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Problem {
-    /// A URI reference that names the kind of problem.
+    /// A URI reference that identifies the kind of problem.
     #[serde(rename = "type")]
     pub kind: String,
-    /// The kind of problem in words.
+    /// A short description of the kind of problem.
     pub title: &'static str,
     /// The HTTP status code.
     #[serde(serialize_with = "status_number")]
@@ -30,7 +30,7 @@
     pub detail: String,
     /// Whether the request provably did not run.
     pub outcome: Outcome,
-    /// When to come back, in whole seconds, rounded up.
+    /// The `Retry-After` time, in whole seconds, rounded up.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub retry_after: Option<u64>,
 }
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Adds the time after which the caller may come back.
+    /// Sets the time after which the caller may retry, at least one second.
     #[must_use]
     pub fn after(mut self, wait: Duration) -> Self {
         let seconds = wait.as_secs() + u64::from(wait.subsec_nanos() > 0);
@@ -84,7 +84,7 @@
         )
     }
 
-    /// Creates the problem of a request that cannot be taken for now.
+    /// Creates the problem of a request that cannot be served at present.
     pub fn unavailable(detail: impl Into<String>, retry: Duration) -> Self {
         Self::new(
             "unavailable",
@@ -109,7 +109,7 @@
         response
     }
 
-    /// Renders the problem as the last event of a stream that broke.
+    /// Renders the problem as the last event of a broken stream.
     pub fn event(&self) -> Bytes {
         Bytes::from(format!("event: error\ndata: {}\n\n", self.json()))
     }
--- a/crates/entry/src/terms.rs
+++ b/crates/entry/src/queueing.rs
@@ -1,14 +1,13 @@
-//! On which terms requests wait, by the settings.
+//! Queue limits and priorities derived from the settings.
 
 use cactusnotch_admit::Priority;
 use cactusnotch_route::Service;
 use cactusnotch_settings::Resolved;
 
-/// The least and the greatest priority of the settings that are neither low
-/// nor high.
+/// The range of priority values that map to [`Priority::Normal`].
 const NORMAL: std::ops::RangeInclusive<u64> = 3..=6;
 
-/// Returns how many requests may wait for a service.
+/// Returns the longest queue of a service, in requests.
 pub(crate) fn queue_bound(settings: &Resolved, service: &Service) -> usize {
     let Service::Model(model) = service else {
         return cactusnotch_admit::Options::default().queue_max;
@@ -20,7 +19,7 @@
     usize::try_from(bound).unwrap_or(usize::MAX)
 }
 
-/// Returns the priority that a value of the settings stands for.
+/// Maps a priority value of the settings to a [`Priority`].
 pub(crate) const fn priority(value: u64) -> Priority {
     if value > *NORMAL.end() {
         Priority::High
--- a/crates/entry/src/roster.rs
+++ b/crates/entry/src/roster.rs
@@ -1,4 +1,4 @@
-//! What the roster and the settings mean for an entry's requests.
+//! Derives an entry's routing table and links from the roster and the settings.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -12,20 +12,20 @@
 
 use crate::shared::Shared;
 
-/// The requests that an endpoint runs at once until it has said so itself.
-const SLOTS_ASSUMED: u32 = 8;
+/// The slots of an endpoint whose agent has not announced them yet.
+const DEFAULT_SLOTS: u32 = 8;
 
-/// How many entries know an endpoint at the least, on the mean, so that a few
-/// entries before many endpoints leave none of them idle.
-const COVER: usize = 2;
+/// The least mean number of entries per endpoint. It enlarges the subsets when
+/// a few entries serve many endpoints, so no endpoint stays idle.
+const COVERAGE_MIN: usize = 2;
 
-/// Keeps the routing table and the links in line with settings and roster.
+/// Updates the routing table and the links on each change of settings or roster.
 pub(crate) async fn follow<C: Clock>(shared: Arc<Shared<C>>) {
     let mut views = shared.node.views();
     let own = shared.options.node.link.identity.process.clone();
     loop {
         let view = Arc::clone(&views.borrow_and_update());
-        let members = known(&own, &view, members(&view));
+        let members = retain_subset(&own, &view, members(&view));
         let all = agents(&view);
         let wanted = members
             .iter()
@@ -44,9 +44,9 @@
     agents(view).get(endpoint).copied()
 }
 
-/// Keeps the endpoints that the entry `own` is to know: a subset of those of
-/// each service, which all entries compute alike.
-fn known(own: &Process, view: &View, members: Vec<Member>) -> Vec<Member> {
+/// Retains the endpoints that the entry `own` uses: a subset of those of each
+/// service. The subset is deterministic, so all entries compute the same one.
+fn retain_subset(own: &Process, view: &View, members: Vec<Member>) -> Vec<Member> {
     let entries: Vec<&str> = view
         .roster
         .iter()
@@ -63,7 +63,7 @@
             .filter(|member| member.services.contains(service))
             .collect();
         let endpoints: Vec<&str> = serving.iter().map(|member| member.name.as_str()).collect();
-        let least = COVER * endpoints.len().div_ceil(entries.len().max(1));
+        let least = COVERAGE_MIN * endpoints.len().div_ceil(entries.len().max(1));
         let size = subset_size(&view.settings, service).max(least);
         for at in subset::of(own.as_str(), &entries, &endpoints, size) {
             names.insert(serving[at].name.clone(), ());
@@ -74,7 +74,7 @@
     members
 }
 
-/// Returns how many endpoints of a service one entry knows.
+/// Returns how many endpoints of a service one entry uses.
 fn subset_size(settings: &Resolved, service: &Service) -> usize {
     let size = match service {
         Service::Path(_) => settings.system.subset_size,
@@ -88,7 +88,7 @@
     usize::try_from(size).unwrap_or(usize::MAX)
 }
 
-/// Returns the callers' addresses of the entries that serve.
+/// Returns the addresses for callers of the serving entries.
 pub(crate) fn entries(view: &View) -> Vec<(SocketAddr, DataCentre)> {
     view.roster
         .iter()
@@ -97,7 +97,7 @@
         .collect()
 }
 
-/// Returns the addresses of the agents, by their endpoint.
+/// Returns the addresses of the agents, by endpoint.
 fn agents(view: &View) -> Table<Endpoint, SocketAddr> {
     view.roster
         .iter()
@@ -105,8 +105,8 @@
         .collect()
 }
 
-/// Returns the endpoints on the roster with what they serve according to the
-/// settings.
+/// Returns the endpoints on the roster with the services that the settings
+/// assign to them.
 fn members(view: &View) -> Vec<Member> {
     view.roster
         .iter()
@@ -116,14 +116,14 @@
                 services: services(&view.settings, &name),
                 name,
                 data_centre: record.data_centre.clone(),
-                slots: SLOTS_ASSUMED,
+                slots: DEFAULT_SLOTS,
                 speed: 1.0,
             })
         })
         .collect()
 }
 
-/// Returns what the settings let an endpoint serve, in order.
+/// Returns the services that the settings assign to an endpoint, sorted.
 fn services(settings: &Resolved, endpoint: &Endpoint) -> Vec<Service> {
     let models = settings
         .groups()
--- a/crates/entry/src/server.rs
+++ b/crates/entry/src/server.rs
@@ -1,4 +1,4 @@
-//! The entry's process: its ports and its tasks.
+//! The entry's server: its ports and its tasks.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,32 +23,32 @@
 /// The largest head of a caller's request, in bytes.
 const HEAD_LIMIT: usize = 32 << 10;
 
-/// The threads that answer operators.
+/// The number of threads that serve operators.
 const OPERATOR_THREADS: usize = 4;
 
-/// The pause after a connection that could not be accepted, such as for want
-/// of file descriptors.
+/// The pause after a connection could not be accepted, for example for lack of
+/// file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// How often the operators' port looks whether it is to stop.
+/// The interval at which the operators' port checks for a stop.
 const OPERATOR_POLL: Duration = Duration::from_millis(50);
 
-/// An entry that could not be started.
+/// A failure to start an entry.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// A port could not be opened.
     #[display("start of the entry: {port} port {address}: {detail}")]
     Listen {
-        /// Whose port it is.
+        /// The port's users: callers, operators or peers.
         port: &'static str,
-        /// The address that was asked for.
+        /// The requested address.
         address: SocketAddr,
         /// The failure.
         detail: String,
     },
 }
 
-/// An entry that runs.
+/// A running entry.
 #[derive(Debug)]
 pub struct Server<C: Clock> {
     shared: Arc<Shared<C>>,
@@ -68,13 +68,13 @@
     pub async fn start(options: Options, clock: C) -> Result<Self, Error> {
         let listener = TcpListener::bind(options.listen)
             .await
-            .map_err(|error| listen("callers'", options.listen, error))?;
+            .map_err(|error| listen_error("callers'", options.listen, error))?;
         let callers = listener
             .local_addr()
-            .map_err(|error| listen("callers'", options.listen, error))?;
+            .map_err(|error| listen_error("callers'", options.listen, error))?;
         let peers = Listener::bind(options.peer_listen, options.node.link.clone())
             .await
-            .map_err(|error| listen("peers'", options.peer_listen, error))?;
+            .map_err(|error| listen_error("peers'", options.peer_listen, error))?;
         let peer_address = peers.address();
         let record = record(&options, peer_address, callers);
         let node = Node::start(options.node.clone(), record, clock.clone());
@@ -98,26 +98,26 @@
         })
     }
 
-    /// Returns the address on which the entry takes callers' connections.
+    /// Returns the address on which the entry listens for callers.
     #[must_use]
     pub const fn callers(&self) -> SocketAddr {
         self.callers
     }
 
-    /// Returns the address on which the entry takes operators' calls.
+    /// Returns the address on which the entry listens for operators.
     #[must_use]
     pub const fn operators(&self) -> SocketAddr {
         self.operators
     }
 
-    /// Returns the address on which the entry takes links of peers.
+    /// Returns the address on which the entry listens for links of peers.
     #[must_use]
     pub const fn peers(&self) -> SocketAddr {
         self.peers
     }
 
-    /// Stops the entry without cutting a request off. It takes at least the
-    /// lifetime of callers' addresses.
+    /// Stops the entry without interrupting requests. Takes at least the
+    /// lifetime of the addresses that callers cache.
     pub async fn stop(&self) {
         stopping::stop(Arc::clone(&self.shared)).await;
     }
@@ -148,7 +148,7 @@
     }
 }
 
-fn listen(port: &'static str, address: SocketAddr, error: impl std::fmt::Display) -> Error {
+fn listen_error(port: &'static str, address: SocketAddr, error: impl std::fmt::Display) -> Error {
     Error::Listen {
         port,
         address,
@@ -164,7 +164,7 @@
     let shared = Arc::clone(shared);
     let stop = Arc::clone(stop);
     let server = rouille::Server::new(address, move |request| operator::answer(&shared, request))
-        .map_err(|error| listen("operators'", address, error))?
+        .map_err(|error| listen_error("operators'", address, error))?
         .pool_size(OPERATOR_THREADS);
     let address = server.server_addr();
     std::thread::spawn(move || {
@@ -194,7 +194,7 @@
     if stream.set_nodelay(true).is_err() {
         return;
     }
-    let held = Arc::clone(&shared);
+    let state = Arc::clone(&shared);
     let head_timeout = shared.options.head_timeout;
     let service = service_fn(move |request| caller::answer(Arc::clone(&shared), request));
     let connection = http1::Builder::new()
@@ -202,11 +202,11 @@
         .header_read_timeout(head_timeout)
         .max_buf_size(HEAD_LIMIT)
         .serve_connection(TokioIo::new(stream), service);
-    let _counted = held.stopping.enter();
+    let _counted = state.stopping.count_connection();
     let mut connection = std::pin::pin!(connection);
     let served = tokio::select! {
         served = connection.as_mut() => served,
-        () = held.stopping.closing() => {
+        () = state.stopping.closing() => {
             connection.as_mut().graceful_shutdown();
             connection.await
         }
--- a/crates/entry/src/shared.rs
+++ b/crates/entry/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the tasks of an entry share.
+//! The state shared by the tasks of an entry.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -16,8 +16,8 @@
 use crate::mailbox::Mailboxes;
 use crate::stopping::Stopping;
 
-/// What the tasks of an entry share. Locks are held for one decision and
-/// never across a wait.
+/// The state shared by the tasks of an entry. Locks are held for one decision
+/// and never across an await.
 #[derive(Debug)]
 pub(crate) struct Shared<C: Clock> {
     pub(crate) options: Options,
@@ -64,7 +64,8 @@
     }
 }
 
-/// Returns the signer of tickets, from the secret that all entries share.
+/// Returns the signer of tickets, keyed with the cluster's first secret, which
+/// all entries share.
 fn signer(options: &Options) -> Signer {
     let secret = options.node.link.secrets.first();
     Signer::new(secret.map_or(&[], |secret| secret.as_bytes()))
--- a/crates/entry/src/status.rs
+++ b/crates/entry/src/status.rs
@@ -1,4 +1,4 @@
-//! What an entry tells operators.
+//! The status page of an entry.
 
 use std::fmt;
 
@@ -7,8 +7,8 @@
 use cactusnotch_derive::message;
 use cactusnotch_spread::{Laggard, Place};
 
-/// What an entry tells operators of itself and of what it sees. It shows as
-/// tables of text and serializes for machines.
+/// The state of an entry and of the processes that it observes. `Display`
+/// renders text tables for operators, and serde the form for machines.
 #[message]
 #[derive(Eq)]
 pub struct Status {
@@ -18,23 +18,23 @@
     pub data_centre: DataCentre,
     /// Its incarnation.
     pub incarnation: Incarnation,
-    /// Whether it takes new work: `serving`, or why not.
+    /// Whether it accepts new work: `serving`, or the reason why not.
     pub standing: String,
     /// The revision in force at this entry.
     pub revision: Revision,
-    /// The newest accepted revision that it has heard of.
+    /// The newest accepted revision that it has observed.
     pub newest: Revision,
     /// The newest revision that is in force in every process on the roster.
     pub in_force: Revision,
-    /// How many processes and data centres lack the newest revision.
+    /// The number of processes and data centres that lack the newest revision.
     pub lacking: u32,
     /// The first of them.
     pub lagging: Vec<Lagging>,
-    /// The callers' connections to this entry.
+    /// The number of callers' connections to this entry.
     pub connections: usize,
-    /// The requests that wait for their turn.
+    /// The number of queued requests.
     pub waiting: usize,
-    /// The endpoints that it knows.
+    /// The endpoints of its subset.
     pub endpoints: Vec<Observation>,
 }
 
@@ -44,28 +44,28 @@
 pub struct Lagging {
     /// The process or the data centre.
     pub name: String,
-    /// The newest revision that it was heard to hold.
+    /// The newest revision that it has reported.
     pub revision: Revision,
-    /// For how long it has lacked the newest one, in milliseconds.
+    /// How long it has lacked the newest one, in milliseconds.
     pub for_ms: u64,
 }
 
-/// What an entry sees of an endpoint.
+/// An entry's view of an endpoint.
 #[message]
 #[derive(Eq)]
 pub struct Observation {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// Whether it takes new work: `serving`, `leaving` or `unreachable`.
+    /// Whether it accepts new work: `serving`, `leaving` or `unreachable`.
     pub state: String,
     /// The entry's own requests at the endpoint.
     pub requests: u32,
-    /// How long ago its agent was heard of, in milliseconds.
+    /// The time since its agent's last announcement, in milliseconds.
     pub heard_ms: Option<u64>,
 }
 
 impl Status {
-    /// Returns the number of endpoints that take new work.
+    /// Returns the number of endpoints that accept new work.
     #[must_use]
     pub fn serving(&self) -> usize {
         let serving = self
--- a/crates/entry/src/stopping.rs
+++ b/crates/entry/src/stopping.rs
@@ -1,4 +1,4 @@
-//! The planned stop of an entry.
+//! Graceful shutdown of an entry.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,49 +8,49 @@
 
 use crate::shared::Shared;
 
-/// How far a planned stop has come.
+/// The phase of a graceful shutdown.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) enum Phase {
     /// The entry serves.
     #[default]
     Serving,
-    /// Callers are told to close their connections.
+    /// Callers' connections are closed after their current response.
     Closing,
 }
 
-/// What a planned stop looks at and says.
+/// The phase of the shutdown and the connections that it waits for.
 #[derive(Debug, Default)]
 pub(crate) struct Stopping {
     phase: watch::Sender<Phase>,
     connections: watch::Sender<usize>,
 }
 
-/// A caller's connection, counted while it lives.
+/// A caller's connection, counted until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Connection<'a> {
     stopping: &'a Stopping,
 }
 
 impl Stopping {
-    /// Counts a connection in.
-    pub(crate) fn enter(&self) -> Connection<'_> {
+    /// Counts a connection until the returned guard is dropped.
+    pub(crate) fn count_connection(&self) -> Connection<'_> {
         self.connections.send_modify(|count| *count += 1);
         Connection { stopping: self }
     }
 
-    /// Returns the number of connections.
+    /// Returns the number of open connections.
     pub(crate) fn connections(&self) -> usize {
         *self.connections.borrow()
     }
 
-    /// Waits until callers are to be told to close their connections.
+    /// Waits until callers' connections are to be closed.
     pub(crate) async fn closing(&self) {
         let mut phase = self.phase.subscribe();
-        // The sender lives in `self`, so the wait cannot fail.
+        // `self` owns the sender, so the wait cannot fail.
         let _ = phase.wait_for(|phase| *phase == Phase::Closing).await;
     }
 
-    async fn emptied(&self) {
+    async fn drained(&self) {
         let mut connections = self.connections.subscribe();
         let _ = connections.wait_for(|count| *count == 0).await;
     }
@@ -62,17 +62,17 @@
     }
 }
 
-/// Stops an entry without cutting a request off: its address is withdrawn,
-/// requests are taken until the addresses that callers keep have expired,
-/// then connections close after the answer that is under way.
+/// Stops an entry without interrupting requests. Withdraws its address, accepts
+/// requests until the addresses that callers cache have expired, and then closes
+/// each connection after its current response.
 pub(crate) async fn stop<C: Clock>(shared: Arc<Shared<C>>) {
     let settings = shared.settings();
     shared.node.leave();
     tracing::info!("address withdrawn; callers may still hold it");
-    settle(&shared).await;
+    wait_for_record(&shared).await;
     tokio::time::sleep(settings.system.address_lifetime).await;
     shared.stopping.phase.send_replace(Phase::Closing);
-    let drained = shared.stopping.emptied();
+    let drained = shared.stopping.drained();
     if tokio::time::timeout(settings.system.drain_time, drained)
         .await
         .is_err()
@@ -81,18 +81,19 @@
         tracing::warn!(left, "connections outlast the drain time");
     }
     shared.node.depart();
-    settle(&shared).await;
+    wait_for_record(&shared).await;
 }
 
-/// Waits a while for the platform to take the process's record.
-async fn settle<C: Clock>(shared: &Shared<C>) {
-    const GLANCE: Duration = Duration::from_millis(50);
-    const PATIENCE: u32 = 100;
-    for _ in 0..PATIENCE {
+/// Waits, for a limited time, until the platform has accepted the process's
+/// record.
+async fn wait_for_record<C: Clock>(shared: &Shared<C>) {
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
+    const POLLS_MAX: u32 = 100;
+    for _ in 0..POLLS_MAX {
         if shared.node.registered() {
             return;
         }
-        tokio::time::sleep(GLANCE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
-    tracing::warn!("the platform has not taken the process's record");
+    tracing::warn!("the platform did not accept the process's record in time");
 }
--- a/crates/entry/src/tickets.rs
+++ b/crates/entry/src/tickets.rs
@@ -1,4 +1,4 @@
-//! Tickets: keys that name the one agent which may run their request.
+//! Tickets: keys that name the only agent that may run their request.
 
 use std::sync::Arc;
 use std::time::{Duration, SystemTime};
@@ -16,12 +16,12 @@
 use crate::problem::Problem;
 use crate::shared::Shared;
 
-/// When to come back for a ticket if no endpoint takes work.
+/// The `Retry-After` if no endpoint accepts work.
 const RETRY: Duration = Duration::from_secs(1);
 
-/// What a caller wants a ticket for.
+/// The request that a ticket is to be issued for.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Wish {
+pub(crate) struct Requirement {
     model: String,
 }
 
@@ -35,9 +35,9 @@
 pub(crate) fn issue<C: Clock>(
     shared: &Arc<Shared<C>>,
     organisation: Organisation,
-    wish: &Wish,
+    requirement: &Requirement,
 ) -> Result<Response<Body>, Problem> {
-    let service = Service::Model(Model::new(wish.model.as_str()));
+    let service = Service::Model(Model::new(requirement.model.as_str()));
     let request = route::Request {
         service: &service,
         tokens: 0,
