--- a/crates/agent/src/engine.rs
+++ b/crates/agent/src/engine.rs
@@ -1,4 +1,4 @@
-//! Calls to the endpoint that the agent stands beside.
+//! Calls to the agent's endpoint.
 
 use bytes::Bytes;
 use cactusnotch_ledger::Attempt;
@@ -15,32 +15,33 @@
 
 use crate::events::Events;
 
-/// The requests a second that the endpoint takes.
+/// The header that carries the endpoint's rate limit, in requests a second.
 const RATE_LIMIT: HeaderName = HeaderName::from_static("rate-limit");
 
-/// Whether the endpoint takes no new requests since it is about to leave.
+/// The header that announces that the endpoint is leaving and accepts no new
+/// requests.
 const LEAVING: HeaderName = HeaderName::from_static("leaving");
 
-/// What an endpoint that is leaving writes.
-const LEAVES: &str = "1";
+/// The value of [`LEAVING`] for an endpoint that is leaving.
+const LEAVING_VALUE: &str = "1";
 
-/// The media type of an answer that comes as a stream of events.
+/// The media type of an event stream.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The media type of an answer that states none.
-const OCTETS: &str = "application/octet-stream";
+/// The media type of an answer without a `Content-Type`.
+const OCTET_STREAM: &str = "application/octet-stream";
 
-/// The most bytes of one event that are held back until its end.
+/// The most bytes that are buffered of an incomplete event.
 const EVENT_LIMIT: usize = 1 << 20;
 
-/// A call to the endpoint that brought no whole answer.
+/// A call to the endpoint without a complete answer.
 #[derive(Debug, Clone, Display, Error)]
 pub(crate) enum Error {
-    /// The endpoint did not take the call, so that nothing ran.
-    #[display("call to the endpoint: it did not take the call: {detail}")]
+    /// The endpoint did not accept the call, so nothing ran.
+    #[display("endpoint did not accept the call: {detail}")]
     Unstarted { detail: String },
-    /// The endpoint failed after it may have begun to run.
-    #[display("call to the endpoint: it failed during the run: {detail}")]
+    /// The endpoint failed after the run may have started.
+    #[display("endpoint failed during the run: {detail}")]
     Failed { detail: String },
 }
 
@@ -51,16 +52,16 @@
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
-/// What the endpoint answers to a call.
+/// The reply of the endpoint to a call.
 #[derive(Debug)]
 pub(crate) struct Reply {
-    /// What it says of itself.
-    pub(crate) statement: Headers,
-    /// The answer, unless it did not take the call.
+    /// The endpoint's throttling headers.
+    pub(crate) headers: Headers,
+    /// The answer, unless the endpoint did not accept the call.
     pub(crate) answer: Result<Answer, Error>,
 }
 
-/// An answer as it comes from the endpoint.
+/// An answer, read piece by piece.
 #[derive(Debug)]
 pub(crate) struct Answer {
     head: Option<Head>,
@@ -75,15 +76,15 @@
         connector.set_nodelay(true);
         Self {
             base: base.trim_end_matches('/').to_owned(),
-            // The client sends a request again only if nothing of it was
-            // written, on finding an idle connection closed.
+            // The client repeats a request only if it found an idle connection
+            // closed before it wrote any of the request.
             client: Client::builder(TokioExecutor::new())
                 .retry_canceled_requests(true)
                 .build(connector),
         }
     }
 
-    /// Makes a call and returns the reply once its head has come.
+    /// Makes a call and returns the reply once its head has been received.
     pub(crate) async fn call(
         &self,
         attempt: Attempt,
@@ -94,7 +95,7 @@
         let request = self.request(attempt, key, call, trace)?;
         match self.client.request(request).await {
             Ok(response) => Ok(Reply {
-                statement: statement(response.headers(), response.status()),
+                headers: read_headers(response.headers(), response.status()),
                 answer: Answer::new(response),
             }),
             Err(error) if error.is_connect() => Err(unstarted(&error)),
@@ -129,14 +130,14 @@
     fn new(response: Response<Incoming>) -> Result<Self, Error> {
         let status = response.status();
         if status == StatusCode::TOO_MANY_REQUESTS {
-            let detail = "its queue is full".to_owned();
+            let detail = "the queue is full".to_owned();
             return Err(Error::Unstarted { detail });
         }
         let content_type = response
             .headers()
             .get(CONTENT_TYPE)
             .and_then(|value: &HeaderValue| value.to_str().ok())
-            .unwrap_or(OCTETS)
+            .unwrap_or(OCTET_STREAM)
             .to_owned();
         let streams = content_type.starts_with(EVENT_STREAM);
         Ok(Self {
@@ -149,7 +150,7 @@
         })
     }
 
-    /// Returns the next piece, or nothing after the end of a whole answer.
+    /// Returns the next piece, or `None` after the end of a complete answer.
     pub(crate) async fn next(&mut self) -> Result<Option<Bytes>, Error> {
         if let Some(head) = self.head.take() {
             return Ok(Some(head.encode()));
@@ -171,7 +172,7 @@
 
     async fn chunk(&mut self) -> Result<Option<Bytes>, Error> {
         if self.events.as_ref().map_or(0, Events::waiting) > EVENT_LIMIT {
-            let detail = "an event is too long".to_owned();
+            let detail = "an event exceeds the size limit".to_owned();
             return Err(Error::Failed { detail });
         }
         match self.body.frame().await {
@@ -184,7 +185,7 @@
     fn finish(&self) -> Result<Option<Bytes>, Error> {
         match &self.events {
             Some(events) if !events.is_done() => {
-                let detail = "its stream ended without the end mark".to_owned();
+                let detail = "the event stream ended without the final event".to_owned();
                 Err(Error::Failed { detail })
             }
             _ => Ok(None),
@@ -192,8 +193,8 @@
     }
 }
 
-/// Reads what the endpoint says of itself.
-fn statement(headers: &HeaderMap, status: StatusCode) -> Headers {
+/// Reads the endpoint's throttling headers.
+fn read_headers(headers: &HeaderMap, status: StatusCode) -> Headers {
     let all = |name| {
         headers
             .get_all(name)
@@ -207,7 +208,7 @@
         } else {
             Header::Absent
         },
-        leaving: all(LEAVING).any(|value| value == Some(LEAVES)),
+        leaving: all(LEAVING).any(|value| value == Some(LEAVING_VALUE)),
     }
 }
 
--- a/crates/agent/src/events.rs
+++ b/crates/agent/src/events.rs
@@ -1,4 +1,4 @@
-//! The division of an event stream into its events.
+//! Splits an event stream into events.
 
 use bytes::{Bytes, BytesMut};
 
@@ -8,7 +8,7 @@
 /// The data of the event that ends an answer.
 const DONE: &[u8] = b"data: [DONE]";
 
-/// Divides the chunks of an event stream into whole events.
+/// Splits the chunks of an event stream into complete events.
 #[derive(Debug, Default)]
 pub(crate) struct Events {
     buffer: BytesMut,
@@ -16,12 +16,12 @@
 }
 
 impl Events {
-    /// Adds a chunk as the endpoint sent it.
+    /// Appends a chunk received from the endpoint.
     pub(crate) fn push(&mut self, chunk: &[u8]) {
         self.buffer.extend_from_slice(chunk);
     }
 
-    /// Takes the next whole event out.
+    /// Removes and returns the next complete event.
     pub(crate) fn next(&mut self) -> Option<Bytes> {
         let at = self
             .buffer
@@ -32,12 +32,12 @@
         Some(event)
     }
 
-    /// Tells whether the event that ends an answer was the last thing seen.
+    /// Returns whether the final event has been read and nothing follows it.
     pub(crate) fn is_done(&self) -> bool {
         self.done && self.buffer.is_empty()
     }
 
-    /// Returns the bytes that wait for the end of their event.
+    /// Returns the number of buffered bytes of an incomplete event.
     pub(crate) fn waiting(&self) -> usize {
         self.buffer.len()
     }
--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,18 +1,18 @@
-//! The agent of cactusnotch: the process in an endpoint host's slot.
+//! The agent of cactusnotch: the process beside an endpoint.
 //!
-//! An agent is the authority over its endpoint. It takes requests from
-//! entries, lets its ledger decide which of them run, makes the calls to the
-//! endpoint and sends the pieces of the answers back.
+//! An agent is the authority over its endpoint. It receives requests from
+//! entries, consults its ledger on which of them to run, calls the endpoint
+//! and streams the pieces of the answers back.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
 mod engine;
 mod events;
-mod needs;
 mod options;
 mod rank;
 mod server;
 mod state;
+mod throttle;
 
 pub use options::Options;
 pub use rank::Rank;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The agent of cactusnotch: the process in an endpoint host's slot.
+//! The agent of cactusnotch: the process beside an endpoint.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -19,19 +19,19 @@
 use derive_more::{Display as DeriveDisplay, Error as DeriveError};
 use tokio::signal::unix::{SignalKind, signal};
 
-/// How often the node is asked what is due.
+/// The interval at which the node's due work runs.
 const TICK: Duration = Duration::from_millis(100);
 
 /// How long a call to the platform may take.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// How often entries are told the endpoint's condition.
+/// The interval at which the endpoint's state is announced to entries.
 const ANNOUNCE_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Time between plans of a group's expert map.
+/// The time between plans of a group's expert map.
 const PLAN_INTERVAL: Duration = Duration::from_secs(10);
 
-/// How often a rank's reports are read and passed on.
+/// The interval at which a rank's reports are read and forwarded.
 const REPORT_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Agent of cactusnotch: stands beside one endpoint and decides what runs there
@@ -110,7 +110,7 @@
         display_fallback
     )]
     expert_bytes: u64,
-    /// Time between plans of a group's expert map
+    /// The time between plans of a group's expert map
     #[bpaf(
         long("plan-interval"),
         env("CACTUSNOTCH_PLAN_INTERVAL"),
@@ -124,13 +124,13 @@
 
 #[expect(
     clippy::trivially_copy_pass_by_ref,
-    reason = "a guard is given a reference"
+    reason = "bpaf passes a reference to guards"
 )]
 fn is_positive(value: &u32) -> bool {
     *value > 0
 }
 
-/// What the process failed at, and at which step.
+/// A failure of the process and the step at which it occurred.
 #[derive(Debug, DeriveDisplay, DeriveError)]
 #[display("{step}: {detail}")]
 struct Failure {
@@ -161,7 +161,7 @@
     service::start(&settings.common.logs.service()).map_err(Failure::at("start of the process"))?;
     let runtime = tokio::runtime::Runtime::new().map_err(Failure::at("start of the runtime"))?;
     let served = runtime.block_on(serve(options(settings)));
-    // A watch that waits at the platform is not waited for.
+    // Pending watches at the platform are not awaited.
     runtime.shutdown_background();
     served
 }
--- a/crates/agent/src/options.rs
+++ b/crates/agent/src/options.rs
@@ -1,4 +1,4 @@
-//! How an agent runs.
+//! Configuration of an agent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 
 use crate::Rank;
 
-/// How an agent runs.
+/// Configuration of an agent.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The address to take links on; port 0 takes any free one.
+    /// The address to listen on for links; port 0 selects any free port.
     pub listen: SocketAddr,
-    /// The address that peers are told, if not the one listened on.
+    /// The address announced to peers, if not the one listened on.
     pub advertise: Option<SocketAddr>,
     /// The region of the agent's data centre.
     pub region: Region,
     /// How the agent follows settings and roster, and reaches its peers and
     /// the platform.
     pub node: node::Options,
-    /// The endpoint that the agent stands beside.
+    /// The endpoint that the agent serves.
     pub endpoint: Endpoint,
     /// The base address of the endpoint, such as `http://127.0.0.1:8000`.
     pub engine: String,
-    /// The requests that the endpoint can run at once.
+    /// The number of requests that the endpoint can run at once.
     pub slots: u32,
-    /// The bounds of the ledger.
+    /// The limits of the ledger.
     pub ledger: ledger::Options,
-    /// How the rank is looked after, if the endpoint is one of a group.
+    /// The settings of the rank, if the endpoint is a rank of a group.
     pub rank: Option<Rank>,
-    /// How often the agent tells entries its endpoint's condition.
+    /// The interval at which the agent announces its endpoint's state to entries.
     pub announce_interval: Duration,
 }
--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -1,4 +1,5 @@
-//! The agent's part beside a rank, as the settings declare the group.
+//! The group driver of an agent whose endpoint is a rank, as the settings
+//! declare the group.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -15,25 +16,25 @@
 use cactusnotch_wire::group::Message;
 use derive_more::Debug;
 
-/// The experts of each layer that a rank has memory for, beyond its even
-/// share.
+/// The expert slots per layer that a rank has beyond its even share.
 const SPARE_SLOTS: usize = 2;
 
-/// The standard deviations by which a saving must exceed its uncertainty, for
-/// each unit by which cost outweighs skew.
+/// The standard deviations by which a saving must exceed its uncertainty, per
+/// unit of the ratio of the cost weight to the skew weight.
 const CAUTION: f64 = 0.4;
 
 /// The largest caution.
 const CAUTION_MAX: f64 = 2.0;
 
-/// How long a burst must have lasted before anything is moved for it, for each
-/// unit by which cost outweighs skew.
-const PATIENCE: Duration = Duration::from_millis(2_400);
+/// How long a burst must last before experts are moved for it, per unit of the
+/// ratio of the cost weight to the skew weight.
+const BURST_TIME: Duration = Duration::from_millis(2_400);
 
-/// The largest ratio of cost to skew that adds patience.
-const RELATIVE_MAX: f64 = 25.0;
+/// The largest ratio of the cost weight to the skew weight that extends
+/// [`BURST_TIME`].
+const RATIO_MAX: f64 = 25.0;
 
-/// How a rank is looked after, beside what the settings say.
+/// The settings of a rank that the settings tree does not hold.
 #[derive(Debug, Clone)]
 pub struct Rank {
     /// The base address of the rank's engine.
@@ -44,18 +45,18 @@
     pub expert_bytes: u64,
     /// The time between plans.
     pub plan_interval: Duration,
-    /// How often the rank's reports are read and passed on.
+    /// The interval at which the rank's reports are read and forwarded.
     pub report_interval: Duration,
 }
 
-/// The way to other agents through the node.
+/// Sends messages to the group's other agents through the node.
 #[derive(Debug)]
-pub(crate) struct Route<C: Clock> {
+pub(crate) struct Peers<C: Clock> {
     #[debug(skip)]
     node: Arc<Node<C>>,
 }
 
-impl<C: Clock> Clone for Route<C> {
+impl<C: Clock> Clone for Peers<C> {
     fn clone(&self) -> Self {
         Self {
             node: Arc::clone(&self.node),
@@ -63,20 +64,20 @@
     }
 }
 
-impl<C: Clock> Transport for Route<C> {
+impl<C: Clock> Transport for Peers<C> {
     fn send(&self, to: &Process, message: Message) {
         self.node.send(to, Body::Group(message));
     }
 }
 
-/// The part beside a rank, once the settings declare the group.
+/// The group driver of a rank, absent until the settings declare the group.
 #[derive(Debug, Default)]
-pub(crate) struct Part {
+pub(crate) struct Participant {
     driver: Mutex<Option<Driver>>,
 }
 
-impl Part {
-    /// Takes in a message of the group's agents.
+impl Participant {
+    /// Passes a message to the driver if it belongs to the driver's group.
     pub(crate) fn receive(&self, from: &Process, message: Message) {
         let driver = self.driver.lock().unwrap_or_else(PoisonError::into_inner);
         if let Some(driver) = driver
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Returns what the part can tell.
+    /// Returns the status of the driver, if it runs.
     pub(crate) fn status(&self) -> Option<Status> {
         let driver = self.driver.lock().unwrap_or_else(PoisonError::into_inner);
         driver.as_ref().map(Driver::status)
@@ -98,13 +99,13 @@
     }
 }
 
-/// Starts the part beside a rank when the settings declare a group that the
-/// endpoint is a rank of, and again when the declaration changes.
+/// Starts a group driver when the settings declare a group that the endpoint is
+/// a rank of, and restarts it when the declaration changes.
 pub(crate) async fn follow<C: Clock>(
     options: crate::Options,
     settings: Rank,
     node: Arc<Node<C>>,
-    part: Arc<Part>,
+    participant: Arc<Participant>,
     clock: C,
 ) {
     let mut views = node.views();
@@ -116,11 +117,11 @@
             declared = found;
             if let Some((name, rank, group)) = &declared {
                 let options = rank_options(&options, &settings, name, *rank, group);
-                let route = Route {
+                let peers = Peers {
                     node: Arc::clone(&node),
                 };
                 tracing::info!(group = %name, %rank, "rank declared");
-                part.set(Driver::start(options, route, clock.clone()));
+                participant.set(Driver::start(options, peers, clock.clone()));
             }
         }
         if views.changed().await.is_err() {
@@ -129,8 +130,8 @@
     }
 }
 
-/// Returns the group that names the endpoint as one of its ranks, in the
-/// order of its list.
+/// Returns the group that lists the endpoint as one of its ranks. The rank's
+/// number is the endpoint's position in the list.
 fn declaration(
     view: &View,
     options: &crate::Options,
@@ -189,7 +190,7 @@
             planner,
             weights: weights(group),
             budget: Budget {
-                rate: share(settings.store_rate, group.weight_store_share),
+                rate: scale(settings.store_rate, group.weight_store_share),
                 interval: settings.plan_interval,
             },
         },
@@ -198,17 +199,17 @@
 }
 
 fn weights(group: &resolved::Group) -> Weights {
-    let relative = group.rebalancing_weight / group.skew_weight.max(f64::EPSILON);
+    let ratio = group.rebalancing_weight / group.skew_weight.max(f64::EPSILON);
     Weights {
         skew: group.skew_weight,
         cost: group.rebalancing_weight,
         horizon: group.payback_horizon,
-        patience: if relative > 1.0 {
-            PATIENCE.mul_f64(relative.min(RELATIVE_MAX))
+        patience: if ratio > 1.0 {
+            BURST_TIME.mul_f64(ratio.min(RATIO_MAX))
         } else {
             Duration::ZERO
         },
-        caution: (CAUTION * relative).min(CAUTION_MAX),
+        caution: (CAUTION * ratio).min(CAUTION_MAX),
     }
 }
 
@@ -218,6 +219,6 @@
     clippy::cast_sign_loss,
     reason = "a rate in bytes is far below 2^53, and a share lies between 0 and 1"
 )]
-fn share(rate: u64, share: f64) -> u64 {
+fn scale(rate: u64, share: f64) -> u64 {
     (rate as f64 * share) as u64
 }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -1,4 +1,4 @@
-//! The agent's process: links from entries, and runs at the endpoint.
+//! The agent's server: links from entries, and runs at the endpoint.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 use crate::Options;
 use crate::engine::{Engine, Error};
-use crate::rank::{self, Part};
+use crate::rank::{self, Participant};
 use crate::state::State;
 
 /// The name of the agent's span of a request.
@@ -27,17 +27,17 @@
 /// The name of the span of the call to the endpoint.
 const CALL_SPAN: &str = "engine";
 
-/// How often a planned stop looks whether the platform has the record.
-const GLANCE: Duration = Duration::from_millis(50);
+/// The interval at which a stop polls whether the process is deregistered.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How long an entry whose link broke may take to come back before its runs
-/// count as left alone; entries wait as long for an agent.
-const RECONNECT: Duration = Duration::from_secs(3);
+/// How long an entry whose link broke may take to reconnect before its runs
+/// count as abandoned. Entries allow an agent the same time.
+const RECONNECT_TIME: Duration = Duration::from_secs(3);
 
-/// How long a planned stop waits for the platform to take the record away.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// How long a stop waits for the platform to remove the process's record.
+const DEREGISTER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// An agent that runs.
+/// A running agent.
 #[derive(Debug)]
 pub struct Server<C: Clock> {
     address: SocketAddr,
@@ -50,7 +50,7 @@
     state: State<C>,
     engine: Engine,
     node: Arc<Node<C>>,
-    part: Arc<Part>,
+    participant: Arc<Participant>,
 }
 
 impl<C: Clock> Server<C> {
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     ///
-    /// Fails if the address cannot be taken.
+    /// Fails if the address cannot be bound.
     pub async fn start(options: Options, clock: C) -> Result<Self, link::Error> {
         let listener = Listener::bind(options.listen, options.node.link.clone()).await?;
         let address = listener.address();
@@ -70,10 +70,10 @@
         );
         let record = record(&options, address);
         let node = Arc::new(Node::start(options.node.clone(), record, clock.clone()));
-        let part = Arc::new(Part::default());
+        let participant = Arc::new(Participant::default());
         let shared = Arc::new(Shared {
             node: Arc::clone(&node),
-            part: Arc::clone(&part),
+            participant: Arc::clone(&participant),
             state: State::new(ledger, options.slots, clock.clone()),
             engine: Engine::new(&options.engine),
         });
@@ -83,7 +83,11 @@
         ];
         if let Some(settings) = options.rank.clone() {
             tasks.push(tokio::spawn(rank::follow(
-                options, settings, node, part, clock,
+                options,
+                settings,
+                node,
+                participant,
+                clock,
             )));
         }
         Ok(Self {
@@ -93,43 +97,46 @@
         })
     }
 
-    /// Returns the address on which the agent takes links.
+    /// Returns the address on which the agent listens for links.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns what the part beside a rank can tell, if there is one.
+    /// Returns the status of the rank's group driver, if it runs.
     #[must_use]
     pub fn rank(&self) -> Option<Status> {
-        self.shared.part.status()
+        self.shared.participant.status()
     }
 
-    /// Waits until the endpoint has said that it leaves. The agent takes no new work from then
-    /// on, and is to be stopped: it knows nothing of a process that comes after.
+    /// Waits until the endpoint has announced that it is leaving. The agent then refuses new work
+    /// and must be stopped: its state does not apply to a later process of the endpoint.
     pub async fn leaving(&self) {
         self.shared.state.leaving().await;
     }
 
-    /// Refuses new work from now on and waits until all runs have ended.
+    /// Refuses new work and waits until all runs have ended.
     pub async fn drain(&self) {
         self.shared.node.leave();
         self.shared.state.step(Event::Drain);
         self.shared.state.drained().await;
     }
 
-    /// Stops the agent without cutting a request off, and takes it off the
+    /// Stops the agent without interrupting requests, and removes it from the
     /// roster if the platform answers in time.
     pub async fn stop(&self) {
         self.drain().await;
         self.shared.node.depart();
         let settled = async {
             while !self.shared.node.registered() {
-                tokio::time::sleep(GLANCE).await;
+                tokio::time::sleep(POLL_INTERVAL).await;
             }
         };
-        if tokio::time::timeout(PATIENCE, settled).await.is_err() {
-            tracing::warn!("the platform has not taken the process's record away");
+        if tokio::time::timeout(DEREGISTER_TIMEOUT, settled)
+            .await
+            .is_err()
+        {
+            tracing::warn!("the platform did not remove the process's record in time");
         }
     }
 }
@@ -183,7 +190,7 @@
     }
 }
 
-/// Takes what an entry asks until its link ends.
+/// Handles the messages of a peer until its link ends.
 async fn serve<C: Clock>(
     link: Link,
     peer: Identity,
@@ -192,11 +199,11 @@
 ) {
     while let Some(received) = receiver.recv().await {
         match received {
-            Ok(Body::Dispatch(dispatch)) => take(link, *dispatch, &shared),
+            Ok(Body::Dispatch(message)) => dispatch(link, *message, &shared),
             Ok(Body::Spread(message)) => shared.node.receive(&peer.process, message),
-            Ok(Body::Group(message)) => shared.part.receive(&peer.process, message),
+            Ok(Body::Group(message)) => shared.participant.receive(&peer.process, message),
             Ok(_) => {
-                tracing::warn!(%link, "link closed: the peer sent what only agents send");
+                tracing::warn!(%link, "link closed: message not allowed from this peer");
                 break;
             }
             Err(error) => {
@@ -207,16 +214,16 @@
     }
     shared.state.close(link);
     // The entry dials again at once if only the connection broke.
-    tokio::time::sleep(RECONNECT).await;
+    tokio::time::sleep(RECONNECT_TIME).await;
     shared.state.step(Event::LinkLost(link));
 }
 
-fn take<C: Clock>(link: Link, dispatch: Dispatch, shared: &Arc<Shared<C>>) {
+fn dispatch<C: Clock>(link: Link, message: Dispatch, shared: &Arc<Shared<C>>) {
     let Dispatch {
         request,
         call,
         trace,
-    } = dispatch;
+    } = message;
     let key = match &request {
         Request::Run(run) => run.identity.key.as_str().to_owned(),
         _ => String::new(),
@@ -233,7 +240,7 @@
     shared.state.running(attempt, task.abort_handle());
 }
 
-/// Makes the call of one attempt and feeds the ledger with its pieces.
+/// Runs one attempt and reports its outcome to the ledger.
 async fn run<C: Clock>(
     attempt: Attempt,
     key: String,
@@ -275,7 +282,7 @@
     let sent = shared.state.clock().now();
     let reply = shared.engine.call(attempt, key, call, &trace).await?;
     let ran = reply.answer.is_ok();
-    shared.state.take_statement(&reply.statement, ran, sent);
+    shared.state.apply_headers(&reply.headers, ran, sent);
     let mut answer = reply.answer?;
     while let Some(data) = answer.next().await? {
         shared.state.step(Event::Piece { attempt, data });
--- a/crates/agent/src/state.rs
+++ b/crates/agent/src/state.rs
@@ -1,4 +1,4 @@
-//! The ledger of an agent with the connections and runs around it.
+//! The state of an agent: its ledger, its links and its runs.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -13,13 +13,13 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-use crate::needs::Needs;
+use crate::throttle::Throttle;
 
 /// A link from an entry.
 #[derive(Debug)]
 struct Peer {
     sender: Sender<Body>,
-    /// The runs that came by this link and go on.
+    /// The number of active runs that were requested over this link.
     runs: u32,
 }
 
@@ -37,26 +37,26 @@
     runs: Table<Attempt, Run>,
     next_link: Link,
     slots: u32,
-    needs: Needs,
+    throttle: Throttle,
 }
 
-/// The ledger of an agent with the connections and runs around it.
+/// The state of an agent: its ledger, its links and its runs.
 ///
-/// Every event passes through the one lock, so that the replies to an entry
-/// leave in the order in which the ledger made them.
+/// One lock serializes all events, which keeps the replies to an entry in the
+/// order in which the ledger produced them.
 #[derive(Debug, Clone)]
 pub(crate) struct State<C> {
     clock: C,
     inner: Arc<Mutex<Inner>>,
     drained: watch::Sender<bool>,
-    /// Whether the endpoint has said that it leaves.
+    /// Whether the endpoint has announced that it is leaving.
     leaving: watch::Sender<bool>,
 }
 
 impl<C: Clock> State<C> {
     pub(crate) fn new(ledger: Ledger, slots: u32, clock: C) -> Self {
         let inner = Inner {
-            needs: Needs::new(ledger.endpoint(), clock.now()),
+            throttle: Throttle::new(ledger.endpoint(), clock.now()),
             ledger,
             peers: Table::new(),
             runs: Table::new(),
@@ -76,7 +76,7 @@
         &self.clock
     }
 
-    /// Takes a link from an entry on and returns its number.
+    /// Registers a link, sends it an announcement and returns its number.
     pub(crate) fn open(&self, sender: Sender<Body>) -> Link {
         let mut inner = self.lock();
         let link = inner.next_link;
@@ -87,12 +87,12 @@
         link
     }
 
-    /// Sends nothing more on a link that broke.
+    /// Removes a broken link.
     pub(crate) fn close(&self, link: Link) {
         self.lock().peers.remove(&link);
     }
 
-    /// Takes one event and returns the attempt that is to be started, if any.
+    /// Applies one event and returns the attempt to start, if any.
     pub(crate) fn step(&self, event: Event) -> Option<Attempt> {
         let mut inner = self.lock();
         let was_draining = inner.ledger.is_draining();
@@ -100,55 +100,55 @@
             Event::Request { link, .. } => Some(*link),
             _ => None,
         };
-        let start = self.take(&mut inner, event, arrival);
+        let start = self.apply(&mut inner, event, arrival);
         if inner.ledger.is_draining() != was_draining {
             self.announce_to_all(&mut inner);
         }
         start
     }
 
-    /// Takes what the endpoint says of itself in its answer to a call made at `sent`, which it
-    /// `ran` or not.
-    pub(crate) fn take_statement(&self, statement: &Headers, ran: bool, sent: Instant) {
+    /// Applies the headers of the endpoint's answer to a call made at `sent`. `ran` states whether
+    /// the endpoint accepted the call.
+    pub(crate) fn apply_headers(&self, headers: &Headers, ran: bool, sent: Instant) {
         let now = self.clock.now();
         let mut inner = self.lock();
-        if inner.needs.take(statement, ran, sent, now) {
+        if inner.throttle.apply_headers(headers, ran, sent, now) {
             self.announce_to_all(&mut inner);
         }
         drop(inner);
-        if statement.leaving && !self.leaving.send_replace(true) {
+        if headers.leaving && !self.leaving.send_replace(true) {
             tracing::info!("endpoint says that it leaves");
             self.step(Event::Drain);
         }
     }
 
-    /// Waits until the endpoint has said that it leaves.
+    /// Waits until the endpoint has announced that it is leaving.
     pub(crate) async fn leaving(&self) {
-        // The sender lives in `self`, so the wait cannot fail.
+        // `self` owns the sender, so the wait cannot fail.
         let _ = self.leaving.subscribe().wait_for(|leaving| *leaving).await;
     }
 
-    /// Tells every entry the endpoint's condition.
+    /// Announces the endpoint's state on every link.
     pub(crate) fn announce(&self) {
         self.announce_to_all(&mut self.lock());
     }
 
-    /// Keeps the handle by which the run of an attempt is stopped.
+    /// Stores the handle that aborts the run of an attempt.
     pub(crate) fn running(&self, attempt: Attempt, task: AbortHandle) {
         match self.lock().runs.get_mut(&attempt) {
             Some(run) => run.task = Some(task),
-            // The run has ended or was stopped already.
+            // The run has already ended or been stopped.
             None => task.abort(),
         }
     }
 
     /// Waits until all runs have ended after a drain.
     pub(crate) async fn drained(&self) {
-        // The sender lives in `self`, so the wait cannot fail.
+        // `self` owns the sender, so the wait cannot fail.
         let _ = self.drained.subscribe().wait_for(|drained| *drained).await;
     }
 
-    fn take(&self, inner: &mut Inner, event: Event, arrival: Option<Link>) -> Option<Attempt> {
+    fn apply(&self, inner: &mut Inner, event: Event, arrival: Option<Link>) -> Option<Attempt> {
         if let Event::LinkLost(link) = event {
             inner.peers.remove(&link);
         }
@@ -162,7 +162,7 @@
         let now = self.clock.now();
         let mut commands = Vec::new();
         if arrival.is_some() {
-            let throttled = inner.needs.withheld(now).is_some();
+            let throttled = inner.throttle.withheld(now).is_some();
             commands = inner.ledger.step(Event::Throttle(throttled), now);
         }
         commands.append(&mut inner.ledger.step(event, now));
@@ -171,19 +171,19 @@
                 Command::Send { link, reply } => inner.reply(link, reply),
                 Command::Start(attempt) => {
                     start = Some(attempt);
-                    inner.begin(attempt, arrival.unwrap_or_default());
-                    if inner.needs.start(now) {
+                    inner.start_run(attempt, arrival.unwrap_or_default());
+                    if inner.throttle.record_start(now) {
                         self.announce_to_all(inner);
                     }
                 }
-                Command::Stop(attempt) => inner.stop(attempt),
+                Command::Stop(attempt) => inner.abort_run(attempt),
                 Command::Drained => {
                     self.drained.send_replace(true);
                 }
             }
         }
         if let Some(attempt) = ended {
-            inner.end(attempt);
+            inner.end_run(attempt);
         }
         start
     }
@@ -203,7 +203,7 @@
             incarnation: inner.ledger.incarnation(),
             age: inner.ledger.age(now),
             draining: inner.ledger.is_draining(),
-            withheld: inner.needs.withheld(now).map(millis),
+            withheld: inner.throttle.withheld(now).map(millis),
             slots: inner.slots,
             requests: u32::try_from(inner.ledger.running()).unwrap_or(u32::MAX),
             mine: inner.peers.get(&link).map_or(0, |peer| peer.runs),
@@ -217,7 +217,7 @@
 }
 
 impl Inner {
-    /// Returns the number of entries that have a link.
+    /// Returns the number of links from entries.
     fn entries(&self) -> u32 {
         let peers = self.peers.values();
         let entries = peers.filter(|peer| peer.sender.peer().role == Role::Entry);
@@ -228,7 +228,7 @@
         self.send(link, &Body::Reply(reply));
     }
 
-    /// Queues a message; a link that takes no more is closed, and its reader
+    /// Queues a message. A link whose queue is full is dropped, and its reader
     /// reports the loss.
     fn send(&mut self, link: Link, body: &Body) {
         let Some(peer) = self.peers.get(&link) else {
@@ -240,14 +240,14 @@
         }
     }
 
-    fn begin(&mut self, attempt: Attempt, link: Link) {
+    fn start_run(&mut self, attempt: Attempt, link: Link) {
         self.runs.insert(attempt, Run { link, task: None });
         if let Some(peer) = self.peers.get_mut(&link) {
             peer.runs += 1;
         }
     }
 
-    fn end(&mut self, attempt: Attempt) -> Option<Run> {
+    fn end_run(&mut self, attempt: Attempt) -> Option<Run> {
         let run = self.runs.remove(&attempt)?;
         if let Some(peer) = self.peers.get_mut(&run.link) {
             peer.runs -= 1;
@@ -255,14 +255,14 @@
         Some(run)
     }
 
-    fn stop(&mut self, attempt: Attempt) {
-        if let Some(task) = self.end(attempt).and_then(|run| run.task) {
+    fn abort_run(&mut self, attempt: Attempt) {
+        if let Some(task) = self.end_run(attempt).and_then(|run| run.task) {
             task.abort();
         }
     }
 }
 
-/// Returns a time in whole milliseconds, at least one.
+/// Converts a time to whole milliseconds, at least one.
 fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX).max(1)
 }
