--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -1,8 +1,8 @@
-//! Time as an interface, so that decisions can be run under a test's clock.
+//! An interface to time, which lets tests run decisions under a clock of their own.
 //!
-//! A host may be suspended for seconds. The steady clock of the standard library stands still
-//! meanwhile, so that what it dates looks as fresh after a sleep as before: the proof that a
-//! key still counts, a lease, a caller's deadline. [`Instant`] counts the time asleep.
+//! A host may be suspended for seconds. The monotonic clock of the standard library stops
+//! meanwhile, so a key's confirmation, a lease or a caller's deadline would seem as recent after
+//! the suspension as before. [`Instant`] counts the time of a suspension.
 
 use std::cell::RefCell;
 use std::ops::{Add, AddAssign, Sub, SubAssign};
@@ -11,22 +11,22 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// What lies between the first instant and the start of the host, so that what is dated
-/// before a start has an instant too.
+/// The offset of the host's start from the first instant. It lets events before the start have
+/// an instant as well.
 const BEFORE_START: Duration = Duration::from_hours(24 * 365);
 
-/// A moment of a clock that never goes back and counts the time that the host is suspended.
+/// An instant of a monotonic clock that counts the time for which the host is suspended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(Duration);
 
 impl Instant {
-    /// Returns the time since this moment, zero if it is to come.
+    /// Returns the time since this instant, zero if it is in the future.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         now().saturating_duration_since(*self)
     }
 
-    /// Returns the time that is left until this moment, zero if it has passed.
+    /// Returns the time remaining until this instant, zero if it has passed.
     #[must_use]
     pub fn remaining(&self) -> Duration {
         self.saturating_duration_since(now())
@@ -50,13 +50,13 @@
         self.0.checked_sub(earlier.0)
     }
 
-    /// Returns the moment `step` later, `None` if there is no such one.
+    /// Returns the instant `step` later, `None` on overflow.
     #[must_use]
     pub fn checked_add(&self, step: Duration) -> Option<Self> {
         self.0.checked_add(step).map(Self)
     }
 
-    /// Returns the moment `step` earlier, `None` if there is no such one.
+    /// Returns the instant `step` earlier, `None` on underflow.
     #[must_use]
     pub fn checked_sub(&self, step: Duration) -> Option<Self> {
         self.0.checked_sub(step).map(Self)
@@ -108,7 +108,7 @@
     fn wall(&self) -> SystemTime;
 }
 
-/// The clock of the operating system, or the one that was set for this thread.
+/// The clock of the operating system, plus the simulated suspension of the current thread.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct System;
 
@@ -123,11 +123,11 @@
 }
 
 thread_local! {
-    /// The time that this thread's host is said to have been suspended, beside the real one.
+    /// The simulated suspension of this thread's host, added to the real one.
     static SUSPENSION: RefCell<Option<Suspension>> = const { RefCell::new(None) };
 }
 
-/// Returns the current time of the operating system's clock that counts the time asleep.
+/// Returns the current time of the operating system's clock that counts suspensions.
 ///
 /// # Panics
 ///
@@ -154,18 +154,18 @@
     })
 }
 
-/// Lets a test suspend a thread's host: all clocks of this module go on by the time asleep,
-/// the runtime's timers don't.
+/// A simulated suspension of a thread's host, for tests. It advances all clocks of this module,
+/// but not the runtime's timers.
 #[derive(Debug, Clone, Default)]
 pub struct Suspension(Arc<Mutex<Duration>>);
 
 impl Suspension {
-    /// Sets this as what suspends the host of the current thread.
+    /// Installs this suspension for the current thread.
     pub fn install(&self) {
         SUSPENSION.with_borrow_mut(|suspension| *suspension = Some(self.clone()));
     }
 
-    /// Suspends the host for `time`.
+    /// Extends the suspension by `time`.
     pub fn extend(&self, time: Duration) {
         *self.lock() += time;
     }
@@ -179,7 +179,7 @@
     }
 }
 
-/// A clock that moves only when it is told to.
+/// A clock that advances only on request.
 #[derive(Debug, Clone)]
 pub struct Manual {
     start: Instant,
@@ -188,7 +188,7 @@
 }
 
 impl Manual {
-    /// Creates a clock that stands at the Unix epoch plus `since_epoch`.
+    /// Creates a clock set to the Unix epoch plus `since_epoch`.
     #[must_use]
     pub fn new(since_epoch: Duration) -> Self {
         Self {
@@ -198,7 +198,7 @@
         }
     }
 
-    /// Moves the clock forward by `step`.
+    /// Advances the clock by `step`.
     pub fn advance(&self, step: Duration) {
         *self.elapsed.lock().unwrap_or_else(PoisonError::into_inner) += step;
     }
--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -1,4 +1,4 @@
-//! Names of the things that operators declare and see.
+//! Names of the objects that operators declare and observe.
 
 use cactusnotch_derive::identifier;
 use derive_more::Display;
@@ -37,7 +37,7 @@
     Host;
     /// A data centre.
     DataCentre;
-    /// A region, which holds data centres.
+    /// A region, which contains data centres.
     Region;
     /// An organisation whose callers send requests.
     Organisation;
--- a/crates/base/src/number.rs
+++ b/crates/base/src/number.rs
@@ -22,15 +22,15 @@
 }
 
 numbers! {
-    /// The number of an accepted edit in the one order over the settings tree.
+    /// The number of an accepted edit in the total order over the settings tree.
     Revision;
     /// The number of an expert map within its group.
     Epoch;
-    /// A fencing number: a holder with a smaller one has been superseded.
+    /// A fencing token: a holder with a smaller one has been superseded.
     Fence;
-    /// One life of a process; a replacement has a larger one.
+    /// The incarnation of a process; a replacement has a larger one.
     Incarnation;
-    /// A step that the ranks of a group take together.
+    /// A step that the ranks of a group execute in lock-step.
     Step;
     /// A position in a numbered log or in a stream of pieces.
     Sequence;
--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -1,9 +1,9 @@
-//! What is known of a request that got no whole answer.
+//! The outcome of a request without a complete answer.
 
 use cactusnotch_derive::{identifier, number};
 use derive_more::Display;
 
-/// What is known of a request that got no whole answer.
+/// The outcome of a request without a complete answer.
 #[number]
 #[derive(Display)]
 #[serde(rename_all = "kebab-case")]
@@ -11,7 +11,7 @@
     /// The request provably did not run and never will.
     #[display("not-run")]
     NotRun,
-    /// The request may have run, in part or as a whole.
+    /// The request may have run, in part or completely.
     #[default]
     #[display("unknown")]
     Unknown,
--- a/crates/base/src/table.rs
+++ b/crates/base/src/table.rs
@@ -1,8 +1,8 @@
-//! A table kept as a sorted vector and searched by halving.
+//! A map kept as a sorted vector with binary search.
 
 use serde::{Deserialize, Serialize};
 
-/// A table of rows, sorted by a unique key.
+/// A map of rows, sorted by unique keys.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Table<K, V> {
@@ -39,7 +39,7 @@
         self.position(key).ok().map(|at| &self.rows[at].1)
     }
 
-    /// Returns the value under `key`, to be changed.
+    /// Returns a mutable reference to the value under `key`.
     pub fn get_mut<Q>(&mut self, key: &Q) -> Option<&mut V>
     where
         K: std::borrow::Borrow<Q>,
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Tells whether the table holds `key`.
+    /// Returns whether the table contains `key`.
     pub fn contains<Q>(&self, key: &Q) -> bool
     where
         K: std::borrow::Borrow<Q>,
@@ -60,7 +60,7 @@
         self.position(key).is_ok()
     }
 
-    /// Stores `value` under `key` and returns the value that stood there.
+    /// Stores `value` under `key` and returns the previous value, if any.
     pub fn insert(&mut self, key: K, value: V) -> Option<V> {
         match self.position(&key) {
             Ok(at) => Some(std::mem::replace(&mut self.rows[at].1, value)),
@@ -71,7 +71,8 @@
         }
     }
 
-    /// Returns the value under `key`, made by `make` if there is none.
+    /// Returns the value under `key`, inserting the result of `make` if there is
+    /// none.
     pub fn get_or_insert_with(&mut self, key: K, make: impl FnOnce() -> V) -> &mut V {
         let at = match self.position(&key) {
             Ok(at) => at,
@@ -83,7 +84,7 @@
         &mut self.rows[at].1
     }
 
-    /// Takes the value under `key` out of the table.
+    /// Removes and returns the value under `key`.
     pub fn remove<Q>(&mut self, key: &Q) -> Option<V>
     where
         K: std::borrow::Borrow<Q>,
@@ -92,7 +93,7 @@
         self.position(key).ok().map(|at| self.rows.remove(at).1)
     }
 
-    /// Keeps the rows for which `keep` holds.
+    /// Retains the rows for which `keep` returns true.
     pub fn retain(&mut self, mut keep: impl FnMut(&K, &mut V) -> bool) {
         self.rows.retain_mut(|(key, value)| keep(key, value));
     }
@@ -103,7 +104,7 @@
         self.rows.iter().map(|(key, value)| (key, value))
     }
 
-    /// Returns the rows in the order of their keys, with values to be changed.
+    /// Returns the rows in the order of their keys, with mutable values.
     pub fn iter_mut(&mut self) -> impl DoubleEndedIterator<Item = (&K, &mut V)> {
         self.rows.iter_mut().map(|(key, value)| (&*key, value))
     }
@@ -126,7 +127,7 @@
         self.rows.len()
     }
 
-    /// Tells whether the table has no rows.
+    /// Returns whether the table has no rows.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.rows.is_empty()
@@ -134,7 +135,7 @@
 }
 
 impl<K: Ord, V> FromIterator<(K, V)> for Table<K, V> {
-    /// Builds the table; of rows with the same key the last one stays.
+    /// Builds the table. Of rows with equal keys, the last one is kept.
     fn from_iter<I: IntoIterator<Item = (K, V)>>(rows: I) -> Self {
         let mut table = Self::new();
         for (key, value) in rows {
--- a/crates/base/tests/clock.rs
+++ b/crates/base/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that counts the time asleep.
+//! The clock counts the time for which the host is suspended.
 
 use std::time::Duration;
 
@@ -27,8 +27,8 @@
             suspension.install();
             clock::now()
         });
-        let asleep = other.join().expect("it reads the clock");
-        assert!(asleep.saturating_duration_since(before) >= 1_000_000 * SECOND);
+        let suspended = other.join().expect("it reads the clock");
+        assert!(suspended.saturating_duration_since(before) >= 1_000_000 * SECOND);
     });
     assert!(before.elapsed() < 1_000_000 * SECOND);
 }
--- a/crates/cactusnotch/src/command.rs
+++ b/crates/cactusnotch/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands.
+//! The subcommands.
 
 pub(crate) mod addresses;
 pub(crate) mod entry;
@@ -12,10 +12,10 @@
 
 use crate::error::Error;
 
-/// How long an entry may take to answer an operator.
+/// The timeout of a request to an entry.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Reads JSON from an entry.
+/// Fetches JSON from an entry.
 pub(crate) fn fetch<T: DeserializeOwned>(url: &str) -> Result<T, Error> {
     let agent = ureq::Agent::config_builder()
         .timeout_global(Some(ANSWER_TIMEOUT))
--- a/crates/cactusnotch/src/command/addresses.rs
+++ b/crates/cactusnotch/src/command/addresses.rs
@@ -1,4 +1,4 @@
-//! `cactusnotch addresses`: the addresses that callers may use.
+//! `cactusnotch addresses`: lists the addresses for callers.
 
 use serde_json::Value;
 
@@ -6,7 +6,7 @@
 use crate::error::Error;
 use crate::options::Query;
 
-/// Prints the addresses that the entry tells callers.
+/// Prints the addresses that the entry announces to callers.
 pub(crate) fn run(query: &Query) -> Result<(), Error> {
     let list: Value = fetch(&format!("http://{}/v1/addresses", query.entry))?;
     if query.json {
--- a/crates/cactusnotch/src/command/entry.rs
+++ b/crates/cactusnotch/src/command/entry.rs
@@ -17,20 +17,20 @@
 
 use crate::error::Error;
 
-/// How often the node is asked what is due.
+/// The interval at which the node's due work runs.
 const TICK: Duration = Duration::from_millis(100);
 
-/// How long a call to the platform may take.
+/// The timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What a first attempt earns, in thousandths of a retry.
+/// The retry budget that a first attempt deposits, in thousandths of a retry.
 const RETRY_FRACTION: u32 = 100;
 
-/// The most retries that are stored.
+/// The largest retry budget, in retries.
 const RETRY_STORE: u32 = 20;
 
-/// How long a run goes on after its caller went away, if the caller can come
-/// back for the answer.
+/// How long a run continues after its caller disconnected, if the caller can
+/// resume the answer.
 const LINGER: Duration = Duration::from_secs(30);
 
 /// Settings of an entry.
@@ -136,18 +136,18 @@
 
 #[expect(
     clippy::trivially_copy_pass_by_ref,
-    reason = "a guard is given a reference"
+    reason = "bpaf passes a reference to guards"
 )]
 fn is_fraction(value: &f64) -> bool {
     (0.0..=1.0).contains(value)
 }
 
-/// Runs an entry until it is told to stop.
+/// Runs an entry until it receives a termination signal.
 pub(crate) fn run(options: Options) -> Result<(), Error> {
     service::start(&options.common.logs.service()).map_err(Error::at("start of the process"))?;
     let runtime = tokio::runtime::Runtime::new().map_err(Error::at("start of the runtime"))?;
     let served = runtime.block_on(serve(options));
-    // A watch that waits at the platform is not waited for.
+    // Pending watches at the platform are not awaited.
     runtime.shutdown_background();
     served
 }
--- a/crates/cactusnotch/src/command/platform.rs
+++ b/crates/cactusnotch/src/command/platform.rs
@@ -1,4 +1,4 @@
-//! The processes on the users' platform.
+//! The commands that run processes on the users' platform.
 
 use std::path::PathBuf;
 
@@ -34,10 +34,10 @@
     }
 
     /// Starts the log and the metrics.
-    fn observe(&self) -> Result<(BufferedLog, Exporter), Error> {
-        let journal = BufferedLog::start(self.log_level).map_err(Error::at("start the log"))?;
+    fn start_telemetry(&self) -> Result<(BufferedLog, Exporter), Error> {
+        let log = BufferedLog::start(self.log_level).map_err(Error::at("start the log"))?;
         let exporter = Exporter::install().map_err(|error| Error::new("metrics", error))?;
-        Ok((journal, exporter))
+        Ok((log, exporter))
     }
 }
 
@@ -51,7 +51,7 @@
         println!("settings of {} are in order", settings.host);
         return Ok(());
     }
-    let (journal, exporter) = options.observe()?;
+    let (log, exporter) = options.start_telemetry()?;
     let reread = options.clone();
     let read = move || {
         reread
@@ -60,7 +60,7 @@
             .map_err(|error| Error::new("settings", error))
     };
     let ended = Entry::<Wire, Wire>::new(settings, exporter).run(read);
-    journal.flush();
+    log.flush();
     ended.map_err(|error| Error::new("entry", error))
 }
 
@@ -74,8 +74,8 @@
         println!("settings of {} are in order", settings.host);
         return Ok(());
     }
-    let (journal, exporter) = options.observe()?;
+    let (log, exporter) = options.start_telemetry()?;
     let ended = Agent::<Wire, Wire>::new(settings, exporter).run();
-    journal.flush();
+    log.flush();
     ended.map_err(|error| Error::new("agent", error))
 }
--- a/crates/cactusnotch/src/command/settings.rs
+++ b/crates/cactusnotch/src/command/settings.rs
@@ -1,4 +1,4 @@
-//! `cactusnotch settings`: the tree of settings, read and edited.
+//! `cactusnotch settings`: reads and edits the tree of settings.
 
 mod declare;
 mod edit;
--- a/crates/cactusnotch/src/command/settings/declare.rs
+++ b/crates/cactusnotch/src/command/settings/declare.rs
@@ -1,10 +1,10 @@
-//! The commands about declarations in version control.
+//! The commands for declarations in version control.
 
 use std::path::PathBuf;
 
 use cactusnotch_declaration::{self as declaration, Declaration, Difference, Source, source};
 
-use super::edit::{tell, writer};
+use super::edit::{report, writer};
 use super::show::read;
 use super::{Authorship, Platform};
 use crate::error::Error;
@@ -46,7 +46,7 @@
     )
     .map_err(Error::at("applying the declaration"))?;
     if let Some(verdict) = verdict {
-        return tell(&verdict);
+        return report(&verdict);
     }
     println!("nothing to change");
     Ok(())
--- a/crates/cactusnotch/src/command/settings/edit.rs
+++ b/crates/cactusnotch/src/command/settings/edit.rs
@@ -1,4 +1,4 @@
-//! The commands that edit one node.
+//! The commands that edit a single node.
 
 use cactusnotch_history::{self as history, Replica, Verdict, Writer};
 use cactusnotch_objects::http::Client;
@@ -8,7 +8,7 @@
 use super::{Authorship, Options, Platform};
 use crate::error::Error;
 
-/// Submits the edit that a command stands for.
+/// Submits the edit of a command.
 pub(crate) fn run(options: Options) -> Result<(), Error> {
     match options {
         Options::Set {
@@ -18,7 +18,7 @@
             key,
             value,
         } => {
-            let key = named(&key)?;
+            let key = key_named(&key)?;
             let value = key.shape().read_text(&value);
             let value = value.map_err(Error::at("reading the value"))?;
             let node = Id::new(node);
@@ -30,7 +30,7 @@
             node,
             key,
         } => {
-            let key = named(&key)?;
+            let key = key_named(&key)?;
             let node = Id::new(node);
             submit(&platform, &authorship, Operation::Unset { node, key })
         }
@@ -80,12 +80,12 @@
             let node = Id::new(node);
             submit(&platform, &authorship, Operation::Delete { node })
         }
-        // The commands that do not edit are run elsewhere.
+        // The other commands are dispatched by the parent module.
         _ => Ok(()),
     }
 }
 
-/// Returns a writer that holds the newest revision.
+/// Returns a writer at the newest revision.
 pub(crate) fn writer(platform: &Platform) -> Result<Writer<Client>, Error> {
     let replica: Replica = read(platform)?;
     Ok(Writer::new(
@@ -95,8 +95,8 @@
     ))
 }
 
-/// Prints what became of an edit.
-pub(crate) fn tell(verdict: &Verdict) -> Result<(), Error> {
+/// Prints the verdict on an edit.
+pub(crate) fn report(verdict: &Verdict) -> Result<(), Error> {
     match verdict {
         Verdict::Accepted { .. } => {
             println!("{verdict}");
@@ -114,10 +114,10 @@
         writer.replica().revision(),
         vec![operation],
     );
-    tell(&writer.submit(&edit))
+    report(&writer.submit(&edit))
 }
 
-fn named(key: &str) -> Result<Key, Error> {
+fn key_named(key: &str) -> Result<Key, Error> {
     Key::named(key).ok_or_else(|| {
         let detail = format!("there is no setting {key:?}; docs/operators/settings-reference.md");
         Error::new("reading the key", detail)
--- a/crates/cactusnotch/src/command/settings/show.rs
+++ b/crates/cactusnotch/src/command/settings/show.rs
@@ -11,7 +11,7 @@
 use crate::command::print_json;
 use crate::error::Error;
 
-/// How long a call to the platform may take.
+/// The timeout of a call to the platform.
 const TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Returns a client of the platform.
@@ -29,7 +29,7 @@
     Ok(reader.replica().clone())
 }
 
-/// Prints a node and what it overrides.
+/// Prints a node and its overrides.
 pub(crate) fn get(platform: &Platform, node: &str, json: bool) -> Result<(), Error> {
     let replica = read(platform)?;
     let tree = replica.tree();
@@ -59,7 +59,7 @@
     Ok(())
 }
 
-/// Prints every value at a node with the node it comes from.
+/// Prints every effective value at a node and the node that sets it.
 pub(crate) fn effective(platform: &Platform, node: &str, json: bool) -> Result<(), Error> {
     let replica = read(platform)?;
     let listing = replica.tree().listing(&Id::new(node));
--- a/crates/cactusnotch/src/command/status.rs
+++ b/crates/cactusnotch/src/command/status.rs
@@ -1,4 +1,4 @@
-//! `cactusnotch status`: what any entry sees of the system.
+//! `cactusnotch status`: shows the status of an entry.
 
 use cactusnotch_entry::Status;
 
@@ -6,7 +6,7 @@
 use crate::error::Error;
 use crate::options::Query;
 
-/// Prints the status as the entry sees it.
+/// Prints the entry's status.
 pub(crate) fn run(query: &Query) -> Result<(), Error> {
     let status: Status = fetch(&format!("http://{}/status", query.entry))?;
     if query.json {
--- a/crates/cactusnotch/src/error.rs
+++ b/crates/cactusnotch/src/error.rs
@@ -1,8 +1,8 @@
-//! What a command failed at.
+//! The error of a command.
 
 use derive_more::{Display, Error};
 
-/// What a command failed at, and at which step.
+/// A failure of a command and the step at which it occurred.
 #[derive(Debug, Display, Error)]
 #[display("{step}: {detail}")]
 pub(crate) struct Error {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// Returns a function that makes the errors of `step`.
+    /// Returns a function that creates errors of `step`.
     pub(crate) fn at<D: std::fmt::Display>(step: &str) -> impl Fn(D) -> Self + '_ {
         move |detail| Self::new(step, detail)
     }
--- a/crates/cactusnotch/src/options.rs
+++ b/crates/cactusnotch/src/options.rs
@@ -16,7 +16,7 @@
 #[bpaf(options, version)]
 #[expect(
     clippy::large_enum_variant,
-    reason = "one value is made in the life of the process"
+    reason = "a process creates only one value"
 )]
 pub(crate) enum Command {
     /// Run an entry, to which callers connect
--- a/crates/derive/src/lib.rs
+++ b/crates/derive/src/lib.rs
@@ -1,7 +1,7 @@
-//! The common derive sets of cactusnotch as attribute macros.
+//! Attribute macros for the common sets of derives in cactusnotch.
 //!
-//! Each attribute stands for one set of derives, so that the types of the
-//! workspace agree on which traits a record, a message or an identifier has.
+//! Each attribute expands to one set of derives, so all records, messages and
+//! identifiers of the workspace implement the same traits.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
@@ -30,7 +30,7 @@
 }
 
 /// Derives the traits of an owned identifier, which can be ordered, hashed
-/// and sent.
+/// and serialized.
 #[proc_macro_attribute]
 pub fn identifier(_options: TokenStream, item: TokenStream) -> TokenStream {
     with_derives(IDENTIFIER, item)
--- a/crates/link/examples/link_figures.rs
+++ b/crates/link/examples/link_figures.rs
@@ -1,5 +1,5 @@
-//! Measures links on loopback: opening, round trips, throughput and what an
-//! idle link costs.
+//! Measures links on loopback: opening, round trips, throughput and the traffic
+//! of an idle link.
 //!
 //! Run it with `cargo run --release -p cactusnotch-link --example link_figures`.
 
--- a/crates/link/src/budget.rs
+++ b/crates/link/src/budget.rs
@@ -1,17 +1,17 @@
-//! The bytes that may wait in a queue.
+//! A byte budget of a queue.
 
 use std::sync::Arc;
 
 use bytes::Bytes;
 use tokio::sync::{AcquireError, OwnedSemaphorePermit, Semaphore, TryAcquireError};
 
-/// The bytes that may wait in a queue.
+/// The bytes that may be queued at once.
 #[derive(Debug, Clone)]
 pub(crate) struct Budget {
-    room: Arc<Semaphore>,
+    permits: Arc<Semaphore>,
 }
 
-/// An encoded message that holds its share of a budget until it is dropped.
+/// An encoded message that occupies its bytes of a budget until it is dropped.
 #[derive(Debug)]
 pub(crate) struct Charged {
     pub(crate) bytes: Bytes,
@@ -22,12 +22,12 @@
     pub(crate) fn new(bytes: usize) -> Self {
         let bytes = bytes.min(u32::MAX as usize).min(Semaphore::MAX_PERMITS);
         Self {
-            room: Arc::new(Semaphore::new(bytes)),
+            permits: Arc::new(Semaphore::new(bytes)),
         }
     }
 
     pub(crate) fn try_charge(&self, bytes: Bytes) -> Result<Charged, TryAcquireError> {
-        let permit = Arc::clone(&self.room).try_acquire_many_owned(price(&bytes))?;
+        let permit = Arc::clone(&self.permits).try_acquire_many_owned(cost(&bytes))?;
         Ok(Charged {
             bytes,
             _permit: permit,
@@ -35,8 +35,8 @@
     }
 
     pub(crate) async fn charge(&self, bytes: Bytes) -> Result<Charged, AcquireError> {
-        let permit = Arc::clone(&self.room)
-            .acquire_many_owned(price(&bytes))
+        let permit = Arc::clone(&self.permits)
+            .acquire_many_owned(cost(&bytes))
             .await?;
         Ok(Charged {
             bytes,
@@ -44,12 +44,12 @@
         })
     }
 
-    /// Refuses all charges from now on, waiting ones too.
+    /// Refuses all further charges, including pending ones.
     pub(crate) fn close(&self) {
-        self.room.close();
+        self.permits.close();
     }
 }
 
-fn price(bytes: &Bytes) -> u32 {
+fn cost(bytes: &Bytes) -> u32 {
     u32::try_from(bytes.len()).unwrap_or(u32::MAX)
 }
--- a/crates/link/src/codec.rs
+++ b/crates/link/src/codec.rs
@@ -1,4 +1,4 @@
-//! Messages as CBOR.
+//! CBOR encoding of messages.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
--- a/crates/link/src/counted.rs
+++ b/crates/link/src/counted.rs
@@ -1,4 +1,4 @@
-//! A byte stream that counts what goes through it.
+//! A byte stream that counts the bytes read and written.
 
 use std::io;
 use std::pin::Pin;
@@ -9,7 +9,7 @@
 
 use crate::Stats;
 
-/// A byte stream that counts what goes through it.
+/// A byte stream that counts the bytes read and written.
 #[derive(Debug)]
 pub(crate) struct Counted<S> {
     inner: S,
--- a/crates/link/src/error.rs
+++ b/crates/link/src/error.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with a link, at which step and with which peer.
+//! Errors of links, with the step and the peer.
 
 use std::io;
 use std::sync::Arc;
@@ -8,7 +8,7 @@
 
 use crate::Reason;
 
-/// A step of a link's life.
+/// A step in the lifecycle of a link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Step {
     /// Listening on an address.
@@ -20,7 +20,7 @@
     /// Exchanging hellos.
     #[display("hello")]
     Hello,
-    /// Proving that both sides belong.
+    /// Mutual proof that both sides hold a secret of the cluster.
     #[display("proof")]
     Proof,
     /// Opening the WebSocket.
@@ -40,23 +40,23 @@
 pub struct Error {
     /// The step that failed.
     pub step: Step,
-    /// The peer's address or, once it is known, its identity.
+    /// The peer's address, followed by its process name once that is known.
     pub peer: Arc<str>,
-    /// What went wrong.
+    /// The cause.
     #[error(source)]
     pub cause: Cause,
 }
 
-/// What went wrong with a link.
+/// The cause of a failure of a link.
 #[derive(Debug, Display, StdError)]
 pub enum Cause {
     /// The connection failed or ended early.
     #[display("{_0}")]
     Io(#[error(source)] io::Error),
-    /// The step took too long.
+    /// The step exceeded the timeout of the handshake.
     #[display("not done within {_0:?}")]
     Timeout(#[error(not(source))] Duration),
-    /// A message exceeds the limit.
+    /// A message exceeds the size limit.
     #[display("a message of {length} bytes exceeds the limit of {limit}")]
     Oversized {
         /// The length of the message, in bytes.
@@ -67,7 +67,7 @@
     /// A message can't be encoded or decoded.
     #[display("malformed message: {_0}")]
     Malformed(#[error(not(source))] String),
-    /// The peer speaks another version of the protocol.
+    /// The peer uses another version of the protocol.
     #[display("the peer speaks version {theirs}, this process version {ours}")]
     Version {
         /// The peer's version.
@@ -84,7 +84,7 @@
     /// The WebSocket protocol was violated.
     #[display("WebSocket: {_0}")]
     WebSocket(#[error(not(source))] String),
-    /// The queue of the link has no room.
+    /// The queue of the link is full.
     #[display("the queue is full ({messages} messages or {bytes} bytes)")]
     Full {
         /// The most messages that the queue holds.
--- a/crates/link/src/handshake.rs
+++ b/crates/link/src/handshake.rs
@@ -1,8 +1,8 @@
-//! The proof of belonging, which comes before the WebSocket.
+//! The authentication handshake, which precedes the WebSocket upgrade.
 //!
-//! The dialer sends its hello, the acceptor answers with its own, the dialer
-//! proves itself first and the acceptor only after that, so that a stranger
-//! who dials is given nothing to guess the secret from.
+//! The dialer sends its hello, and the acceptor answers with its own. The dialer
+//! sends its proof first and the acceptor only after it has checked that one, so
+//! an unauthenticated dialer receives no proof from which to guess the secret.
 
 use tokio::io::{AsyncRead, AsyncWrite};
 
@@ -12,10 +12,10 @@
 use crate::preface::Preface;
 use crate::proof::{Proof, Side, Transcript, Verdict};
 
-/// What the acceptor tells a dialer whose proof fails.
+/// The reason that the acceptor sends to a dialer whose proof fails.
 const FORGED: &str = "the proof fits none of the cluster's secrets";
 
-/// Runs the dialer's side and returns who the acceptor is.
+/// Runs the dialer's side and returns the acceptor's identity.
 pub(crate) async fn dial<S>(mut preface: Preface<'_, S>) -> Result<Identity, Error>
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -40,7 +40,7 @@
     Ok(hello.identity)
 }
 
-/// Runs the acceptor's side and returns who the dialer is.
+/// Runs the acceptor's side and returns the dialer's identity.
 pub(crate) async fn accept<S>(mut preface: Preface<'_, S>) -> Result<Identity, Error>
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -80,7 +80,8 @@
     Ok(bytes)
 }
 
-/// Reads the version before the rest, which another version may not have.
+/// Decodes a hello. Checks the version first, since the other fields may differ
+/// in another version.
 fn checked_hello<S>(preface: &mut Preface<'_, S>, bytes: &[u8]) -> Result<Hello, Error>
 where
     S: AsyncRead + AsyncWrite + Unpin,
@@ -104,7 +105,7 @@
 where
     S: AsyncRead + AsyncWrite + Unpin,
 {
-    if proof.holds(&preface.options.secrets, side, transcript) {
+    if proof.verifies(&preface.options.secrets, side, transcript) {
         return Ok(());
     }
     Err(preface.error(Step::Proof, Cause::Forged))
--- a/crates/link/src/hello.rs
+++ b/crates/link/src/hello.rs
@@ -1,16 +1,16 @@
-//! The first message of each side.
+//! The first message from each side.
 
 use cactusnotch_derive::message;
 
 use crate::Identity;
 
-/// The version of the links' protocol that this crate speaks.
+/// The version of the link protocol that this crate implements.
 pub const VERSION: u16 = 1;
 
 /// The length of a nonce, in bytes.
 const NONCE_LENGTH: usize = 32;
 
-/// Announces a side and challenges the other with a nonce.
+/// Announces a version and an identity, and challenges the peer with a nonce.
 #[message]
 pub(crate) struct Hello {
     pub(crate) version: u16,
@@ -18,7 +18,7 @@
     pub(crate) nonce: [u8; NONCE_LENGTH],
 }
 
-/// The part of a [`Hello`] that every version has.
+/// The fields of a [`Hello`] that are common to all versions.
 #[message]
 pub(crate) struct Announcement {
     pub(crate) version: u16,
--- a/crates/link/src/identity.rs
+++ b/crates/link/src/identity.rs
@@ -1,39 +1,39 @@
-//! Who stands at one side of a link.
+//! The identity of one side of a link.
 
 use cactusnotch_base::name::{DataCentre, Host, Process};
 use cactusnotch_base::number::Incarnation;
 use cactusnotch_derive::{identifier, message};
 use derive_more::Display;
 
-/// What a process does in the cluster.
+/// The role of a process in the cluster.
 #[identifier]
 #[derive(Copy, Display)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// It takes callers' requests.
+    /// A proxy that serves callers' requests.
     #[display("entry")]
     Entry,
-    /// It stands beside an endpoint.
+    /// A process beside an endpoint.
     #[display("agent")]
     Agent,
-    /// It is an operator's command.
+    /// An operator's command.
     #[display("operator")]
     Operator,
 }
 
-/// Who stands at one side of a link.
+/// The identity of one side of a link.
 #[message]
 #[derive(Eq, Display)]
 #[display("{role} {process} on {host} in {data_centre}, incarnation {incarnation}")]
 pub struct Identity {
     /// The process.
     pub process: Process,
-    /// What the process does.
+    /// The role of the process.
     pub role: Role,
-    /// The host that it runs on.
+    /// The host of the process.
     pub host: Host,
     /// The data centre of the host.
     pub data_centre: DataCentre,
-    /// The life of the process.
+    /// The incarnation of the process.
     pub incarnation: Incarnation,
 }
--- a/crates/link/src/lib.rs
+++ b/crates/link/src/lib.rs
@@ -3,11 +3,10 @@
 //!
 //! Both sides of a link prove that they hold the cluster's secret before the
 //! WebSocket is opened, so an unknown peer reaches neither the HTTP parser nor
-//! the frame parser. After the handshake a frame is authenticated only by the
-//! connection that it arrives on: there is no per-frame MAC and no
-//! encryption, so the network between the hosts has to be trusted until the
-//! links run over TLS. [`dial_on`] and [`accept_on`] take any byte stream,
-//! which is where TLS goes.
+//! the frame parser. After the handshake, a frame is authenticated only by the
+//! connection that it arrives on. There is no per-frame MAC and no encryption,
+//! so the network between the hosts must be trusted unless links run over TLS.
+//! [`dial_on`] and [`accept_on`] accept any byte stream, including a TLS stream.
 //!
 //! ```no_run
 //! # async fn run(options: cactusnotch_link::Options) -> Result<(), cactusnotch_link::Error> {
--- a/crates/link/src/link.rs
+++ b/crates/link/src/link.rs
@@ -1,4 +1,4 @@
-//! Opening links.
+//! Establishment of links.
 
 use std::sync::Arc;
 
@@ -23,15 +23,15 @@
 use crate::writer::Writer;
 use crate::{Identity, Options, Receiver, Sender, Stats, handshake};
 
-/// The address that the upgrade asks for; nothing but its form matters.
+/// The URL of the upgrade request; the peer ignores its value.
 const UPGRADE_URL: &str = "ws://cactusnotch/link";
 
-/// A message that a link can carry.
-pub trait Body: Serialize + DeserializeOwned + Send + 'static {}
+/// A message type that a link can carry.
+pub trait Payload: Serialize + DeserializeOwned + Send + 'static {}
 
-impl<M: Serialize + DeserializeOwned + Send + 'static> Body for M {}
+impl<M: Serialize + DeserializeOwned + Send + 'static> Payload for M {}
 
-/// An open link, both of whose sides have proved that they belong.
+/// An open link between two authenticated sides.
 #[derive(Debug)]
 pub struct Link<M> {
     sender: Sender<M>,
@@ -39,7 +39,7 @@
 }
 
 impl<M> Link<M> {
-    /// Returns who stands at the other side.
+    /// Returns the peer's identity.
     #[must_use]
     pub fn peer(&self) -> &Identity {
         self.sender.peer()
@@ -57,7 +57,7 @@
 /// # Errors
 ///
 /// Returns the step that failed and why; see [`Cause`].
-pub async fn dial<M: Body>(
+pub async fn dial<M: Payload>(
     address: impl ToSocketAddrs + std::fmt::Display,
     options: &Options,
 ) -> Result<Link<M>, Error> {
@@ -66,21 +66,21 @@
     let connected = timeout_at(deadline, TcpStream::connect(address)).await;
     let stream = connected
         .unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))
-        .and_then(without_delay)
+        .and_then(set_nodelay)
         .map_err(|error| failed(Step::Connect, &peer, Cause::Io(error)))?;
     open(stream, peer, options, Side::Dialer, deadline).await
 }
 
-/// Opens a link on a connection that a peer has made.
+/// Opens a link on an accepted connection.
 ///
 /// # Errors
 ///
 /// Returns the step that failed and why; see [`Cause`].
-pub async fn accept<M: Body>(stream: TcpStream, options: &Options) -> Result<Link<M>, Error> {
+pub async fn accept<M: Payload>(stream: TcpStream, options: &Options) -> Result<Link<M>, Error> {
     let address = stream.peer_addr().map(|address| address.to_string());
     let peer: Arc<str> = address.unwrap_or_else(|_| "unknown".to_owned()).into();
     let stream =
-        without_delay(stream).map_err(|error| failed(Step::Connect, &peer, Cause::Io(error)))?;
+        set_nodelay(stream).map_err(|error| failed(Step::Connect, &peer, Cause::Io(error)))?;
     let deadline = deadline(options);
     open(stream, peer, options, Side::Acceptor, deadline).await
 }
@@ -93,7 +93,7 @@
 /// Returns the step that failed and why; see [`Cause`].
 pub async fn dial_on<M, S>(stream: S, peer: &str, options: &Options) -> Result<Link<M>, Error>
 where
-    M: Body,
+    M: Payload,
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
 {
     let deadline = deadline(options);
@@ -108,17 +108,17 @@
 /// Returns the step that failed and why; see [`Cause`].
 pub async fn accept_on<M, S>(stream: S, peer: &str, options: &Options) -> Result<Link<M>, Error>
 where
-    M: Body,
+    M: Payload,
     S: AsyncRead + AsyncWrite + Unpin + Send + 'static,
 {
     let deadline = deadline(options);
     open(stream, peer.into(), options, Side::Acceptor, deadline).await
 }
 
-/// Returns until when a handshake that begins now may last.
+/// Returns the deadline of a handshake that starts now.
 #[expect(
     clippy::disallowed_methods,
-    reason = "a wait on the runtime's timers, which tests pause; nothing is believed by it"
+    reason = "a timeout on the runtime's timers, which tests pause; no age is computed from it"
 )]
 fn deadline(options: &Options) -> Instant {
     Instant::now() + options.handshake_timeout
@@ -136,7 +136,7 @@
 {
     let stats = Arc::new(Stats::new());
     let mut stream = Counted::new(stream, Arc::clone(&stats));
-    let identity = prove(&mut stream, &peer, options, side, deadline)
+    let identity = authenticate(&mut stream, &peer, options, side, deadline)
         .await
         .inspect_err(count_failure)?;
     let socket = timeout_at(deadline, upgrade(stream, options, side))
@@ -148,7 +148,7 @@
     Ok(start(socket, &shared, options))
 }
 
-async fn prove<S>(
+async fn authenticate<S>(
     stream: &mut S,
     peer: &Arc<str>,
     options: &Options,
@@ -216,7 +216,7 @@
     }
 }
 
-fn without_delay(stream: TcpStream) -> std::io::Result<TcpStream> {
+fn set_nodelay(stream: TcpStream) -> std::io::Result<TcpStream> {
     stream.set_nodelay(true)?;
     Ok(stream)
 }
--- a/crates/link/src/listener.rs
+++ b/crates/link/src/listener.rs
@@ -1,4 +1,4 @@
-//! Accepting links.
+//! A listener for links.
 
 use std::io;
 use std::net::SocketAddr;
@@ -11,14 +11,14 @@
 use tokio::task::JoinHandle;
 
 use crate::error::{Cause, Error, Step};
-use crate::link::Body;
+use crate::link::Payload;
 use crate::{Link, Options, accept};
 
-/// How long accepting pauses after an error, such as too many open files.
+/// The pause after a failed accept, for example for lack of file descriptors.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// Accepts links on an address. Handshakes run beside one another, so a slow
-/// or hostile peer doesn't hold up the others.
+/// Accepts links on an address. Handshakes run concurrently, so a slow or
+/// hostile peer does not delay the others.
 #[derive(Debug)]
 pub struct Listener<M> {
     address: SocketAddr,
@@ -27,12 +27,12 @@
     task: JoinHandle<()>,
 }
 
-impl<M: Body> Listener<M> {
+impl<M: Payload> Listener<M> {
     /// Listens on `address`.
     ///
     /// # Errors
     ///
-    /// Returns an error of [`Step::Listen`] if the address can't be taken.
+    /// Returns an error of [`Step::Listen`] if the address cannot be bound.
     pub async fn bind(
         address: impl ToSocketAddrs + std::fmt::Display,
         options: Options,
@@ -62,20 +62,20 @@
         })
     }
 
-    /// Waits for the next link, or the error of a handshake that failed.
+    /// Waits for the next link, or for the error of a failed handshake.
     pub async fn accept(&mut self) -> Option<Result<Link<M>, Error>> {
         self.links.recv().await
     }
 }
 
 impl<M> Listener<M> {
-    /// Returns the address that is listened on.
+    /// Returns the local address.
     #[must_use]
     pub const fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Returns how many handshakes have failed.
+    /// Returns the number of failed handshakes.
     #[must_use]
     pub fn refused(&self) -> u64 {
         self.refused.load(Ordering::Relaxed)
@@ -96,7 +96,7 @@
     refused: Arc<AtomicU64>,
 }
 
-impl<M: Body> Acceptor<M> {
+impl<M: Payload> Acceptor<M> {
     async fn run(self, listener: TcpListener) {
         loop {
             let Ok(slot) = Arc::clone(&self.handshakes).acquire_owned().await else {
--- a/crates/link/src/options.rs
+++ b/crates/link/src/options.rs
@@ -1,37 +1,37 @@
-//! How links are made.
+//! Configuration of links.
 
 use std::time::Duration;
 
 use crate::{Identity, Secret};
 
-/// How links are made and what they are allowed to take.
+/// Configuration of links: identity, secrets, timeouts and limits.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// Who this process is.
+    /// The identity of this process.
     pub identity: Identity,
     /// The cluster's secrets, at most four: the current one and, during a
-    /// rotation, the previous one. Two sides that share any one secret accept
-    /// each other.
+    /// rotation, the previous one. Two sides accept each other if they share at
+    /// least one.
     pub secrets: Vec<Secret>,
-    /// The version that this side announces and asks for.
+    /// The protocol version that this side announces and requires.
     pub version: u16,
-    /// How long connecting, the handshake and the upgrade may take in all.
+    /// The timeout of the connect, the handshake and the upgrade together.
     pub handshake_timeout: Duration,
     /// The largest message of the handshake, in bytes.
     pub handshake_limit: usize,
-    /// How many handshakes a listener runs at a time; more peers wait.
+    /// The most concurrent handshakes of a listener; further peers wait.
     pub pending_handshakes: usize,
     /// The largest message of the application, in bytes.
     pub frame_limit: usize,
-    /// The most messages that wait in either direction's queue.
+    /// The most messages in the queue of each direction.
     pub queue_messages: usize,
-    /// The most bytes that wait in either direction's queue; never less than
-    /// one frame of the largest size.
+    /// The most bytes in the queue of each direction; at least the largest
+    /// frame.
     pub queue_bytes: usize,
-    /// How often a ping is sent.
+    /// The interval between pings.
     pub ping_interval: Duration,
-    /// How long a link may stay without any received byte. A half-open
-    /// connection is found within five quarters of it.
+    /// The longest time without any received byte before the link is closed. A
+    /// half-open connection is detected within five quarters of it.
     pub idle_timeout: Duration,
 }
 
--- a/crates/link/src/preface.rs
+++ b/crates/link/src/preface.rs
@@ -1,5 +1,5 @@
-//! The messages before the WebSocket: CBOR with a length before it, read
-//! byte for byte so that nothing of the upgrade is taken.
+//! The messages before the WebSocket upgrade: length-prefixed CBOR. Reads never
+//! exceed a message, so no bytes of the upgrade are consumed.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use crate::error::{Cause, Error, Step};
 use crate::{Options, codec};
 
-/// The exchange of bounded messages with one peer until a deadline.
+/// Exchanges size-limited messages with one peer until a deadline.
 #[derive(Debug)]
 pub(crate) struct Preface<'a, S> {
     pub(crate) stream: &'a mut S,
@@ -44,17 +44,21 @@
     }
 
     pub(crate) async fn write(&mut self, step: Step, bytes: &[u8]) -> Result<(), Error> {
-        let written = timeout_at(self.deadline, put(self.stream, bytes)).await;
-        self.in_time(step, written)
+        let written = timeout_at(self.deadline, write_message(self.stream, bytes)).await;
+        self.flatten_timeout(step, written)
     }
 
     pub(crate) async fn read(&mut self, step: Step) -> Result<Vec<u8>, Error> {
         let limit = self.options.handshake_limit;
-        let bytes = timeout_at(self.deadline, get(self.stream, limit)).await;
-        self.in_time(step, bytes)
+        let bytes = timeout_at(self.deadline, read_message(self.stream, limit)).await;
+        self.flatten_timeout(step, bytes)
     }
 
-    fn in_time<T, E>(&self, step: Step, result: Result<Result<T, Cause>, E>) -> Result<T, Error> {
+    fn flatten_timeout<T, E>(
+        &self,
+        step: Step,
+        result: Result<Result<T, Cause>, E>,
+    ) -> Result<T, Error> {
         let timeout = Cause::Timeout(self.options.handshake_timeout);
         result
             .unwrap_or(Err(timeout))
@@ -62,7 +66,7 @@
     }
 }
 
-async fn put<S: AsyncWrite + Unpin>(stream: &mut S, bytes: &[u8]) -> Result<(), Cause> {
+async fn write_message<S: AsyncWrite + Unpin>(stream: &mut S, bytes: &[u8]) -> Result<(), Cause> {
     let length = u32::try_from(bytes.len()).map_err(|_| Cause::Oversized {
         length: bytes.len(),
         limit: u32::MAX as usize,
@@ -74,7 +78,10 @@
     stream.flush().await.map_err(Cause::Io)
 }
 
-async fn get<S: AsyncRead + Unpin>(stream: &mut S, limit: usize) -> Result<Vec<u8>, Cause> {
+async fn read_message<S: AsyncRead + Unpin>(
+    stream: &mut S,
+    limit: usize,
+) -> Result<Vec<u8>, Cause> {
     let length = stream.read_u32().await.map_err(Cause::Io)? as usize;
     if length > limit {
         return Err(Cause::Oversized { length, limit });
--- a/crates/link/src/proof.rs
+++ b/crates/link/src/proof.rs
@@ -6,21 +6,21 @@
 
 use crate::Secret;
 
-/// Keeps these MACs apart from any other use of the secret.
+/// Domain separator of these MACs from other uses of the secret.
 const DOMAIN: &[u8] = b"cactusnotch link proof 1";
 
-/// The most secrets that are tried for one proof.
+/// The most secrets and codes that are tried for one proof.
 const MAX_CODES: usize = 4;
 
-/// Which side a proof speaks for, so that it can't be sent back as the
-/// other's.
+/// The side that a proof belongs to. It is part of the MAC, so a proof cannot
+/// be reflected as the other side's.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Side {
     Dialer,
     Acceptor,
 }
 
-/// Both hellos as they were on the wire; their nonces make them unique.
+/// Both hellos as sent on the wire; their nonces make the transcript unique.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Transcript<'a> {
     pub(crate) dialer: &'a [u8],
@@ -48,8 +48,13 @@
         }
     }
 
-    /// Tells whether one of the codes was made with one of `secrets`.
-    pub(crate) fn holds(&self, secrets: &[Secret], side: Side, transcript: Transcript<'_>) -> bool {
+    /// Returns whether one of the codes was made with one of `secrets`.
+    pub(crate) fn verifies(
+        &self,
+        secrets: &[Secret],
+        side: Side,
+        transcript: Transcript<'_>,
+    ) -> bool {
         let codes = || self.codes.iter().take(MAX_CODES);
         secrets.iter().take(MAX_CODES).any(|secret| {
             let expected = mac(secret, side, transcript);
--- a/crates/link/src/reader.rs
+++ b/crates/link/src/reader.rs
@@ -17,7 +17,7 @@
 use crate::error::{Cause, Error, Step};
 use crate::shared::Shared;
 
-/// How often within the idle timeout the received bytes are looked at.
+/// The number of checks for received bytes per idle timeout.
 const CHECKS_PER_TIMEOUT: u32 = 4;
 
 /// The task that reads from a link's connection.
@@ -35,11 +35,11 @@
         let shared = Arc::clone(&self.shared);
         let queue = self.queue.clone();
         let end = tokio::select! {
-            reason = shared.ended() => End::quiet(reason),
-            () = queue.closed() => End::quiet(Reason::Local("receiver dropped".to_owned())),
+            reason = shared.ended() => End::clean(reason),
+            () = queue.closed() => End::clean(Reason::Local("receiver dropped".to_owned())),
             end = self.read() => end,
         };
-        // Senders learn of the end even while the receiver is slow.
+        // Marks the end first, so senders observe it even if the receiver is slow.
         shared.end(end.reason);
         if let Some(cause) = end.error {
             let _ = queue.send(Err(shared.error(Step::Receive, cause))).await;
@@ -52,7 +52,7 @@
         loop {
             tokio::select! {
                 frame = self.stream.next() => {
-                    if let Some(end) = self.take(frame).await {
+                    if let Some(end) = self.handle(frame).await {
                         return end;
                     }
                     activity = Activity::new(&self.shared);
@@ -68,7 +68,7 @@
     }
 
     /// Handles one frame and returns how the link ends, if it does.
-    async fn take(&mut self, frame: Option<tungstenite::Result<Message>>) -> Option<End> {
+    async fn handle(&mut self, frame: Option<tungstenite::Result<Message>>) -> Option<End> {
         match frame {
             Some(Ok(Message::Binary(bytes))) => {
                 let charged = self.budget.charge(bytes).await.ok()?;
@@ -85,21 +85,22 @@
 
     fn closed(&self, frame: Option<CloseFrame>) -> End {
         if self.shared.is_closing() {
-            return End::quiet(Reason::Local(self.shared.closing_text().to_owned()));
+            return End::clean(Reason::Local(self.shared.closing_text().to_owned()));
         }
         let text = frame.map_or_else(String::new, |frame| frame.reason.to_string());
-        End::quiet(Reason::Peer(text))
+        End::clean(Reason::Peer(text))
     }
 }
 
-/// How a link ends, with the receiver's last item if it is an error.
+/// The end of a link: its reason, and the receiver's last item if that is an
+/// error.
 struct End {
     reason: Reason,
     error: Option<Cause>,
 }
 
 impl End {
-    const fn quiet(reason: Reason) -> Self {
+    const fn clean(reason: Reason) -> Self {
         Self {
             reason,
             error: None,
@@ -122,7 +123,7 @@
     }
 }
 
-/// When the last byte is known to have arrived.
+/// The time at which the byte counter last increased.
 struct Activity {
     bytes: u64,
     since: Instant,
@@ -131,7 +132,7 @@
 impl Activity {
     #[expect(
         clippy::disallowed_methods,
-        reason = "a sleep is no silence of the peer: its pings wait to be read"
+        reason = "a suspension is not idle time: the peer's pings are still to be read"
     )]
     fn new(shared: &Shared) -> Self {
         Self {
--- a/crates/link/src/reason.rs
+++ b/crates/link/src/reason.rs
@@ -13,7 +13,8 @@
     /// The peer closed the link.
     #[display("closed by the peer: {_0}")]
     Peer(String),
-    /// Nothing arrived for so long that the connection counts as half-open.
+    /// No byte arrived within the idle timeout, so the connection is considered
+    /// half-open.
     #[display("nothing received for {_0:?}")]
     Idle(Duration),
     /// The connection or its protocol failed.
--- a/crates/link/src/receiver.rs
+++ b/crates/link/src/receiver.rs
@@ -11,7 +11,7 @@
 use crate::shared::Shared;
 use crate::{Identity, Reason, Stats, codec};
 
-/// The receiving half of a link. When it is dropped, the link ends.
+/// The receiving half of a link. Dropping it ends the link.
 #[derive(Debug)]
 pub struct Receiver<M> {
     queue: mpsc::Receiver<Result<Charged, Error>>,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Returns who stands at the other side.
+    /// Returns the peer's identity.
     #[must_use]
     pub fn peer(&self) -> &Identity {
         &self.shared.identity
@@ -43,7 +43,7 @@
         &self.shared.stats
     }
 
-    /// Waits until the link has ended and returns why.
+    /// Waits until the link has ended and returns the reason.
     pub async fn closed(&self) -> Reason {
         self.shared.ended().await
     }
@@ -54,9 +54,9 @@
     ///
     /// # Errors
     ///
-    /// A message that can't be decoded is an error of
-    /// [`Cause::Malformed`](crate::error::Cause::Malformed), after which the
-    /// link goes on. Any other error is the link's last item.
+    /// A message that cannot be decoded yields
+    /// [`Cause::Malformed`](crate::error::Cause::Malformed), and the link stays
+    /// open. Any other error is the link's last item.
     pub async fn recv(&mut self) -> Option<Result<M, Error>> {
         let item = self.queue.recv().await?;
         Some(item.and_then(|charged| {
--- a/crates/link/src/secret.rs
+++ b/crates/link/src/secret.rs
@@ -4,7 +4,7 @@
 
 use derive_more::{Display, Error};
 
-/// The smallest secret that is taken, in bytes.
+/// The shortest allowed secret, in bytes.
 pub const MIN_LENGTH: usize = 16;
 
 /// A secret that all processes of a cluster share.
@@ -13,10 +13,10 @@
 #[derive(Clone, PartialEq, Eq)]
 pub struct Secret(Vec<u8>);
 
-/// Why a text can't be a secret.
+/// A refusal of a secret.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 pub enum Error {
-    /// The secret is too short to withstand guessing.
+    /// The secret is too short to resist guessing.
     #[display("a secret needs at least {MIN_LENGTH} bytes, this one has {length}")]
     Short {
         /// The length of the refused secret, in bytes.
--- a/crates/link/src/sender.rs
+++ b/crates/link/src/sender.rs
@@ -13,7 +13,7 @@
 use crate::shared::Shared;
 use crate::{Identity, Reason, Stats, codec};
 
-/// What waits to be written.
+/// An item of the writer's queue.
 #[derive(Debug)]
 pub(crate) enum Outgoing {
     Message(Charged),
@@ -22,7 +22,7 @@
 
 /// The sending half of a link; clones share one bounded queue.
 ///
-/// When the last clone is dropped, what is queued is written and the link is
+/// When the last clone is dropped, queued messages are written and the link is
 /// closed.
 #[derive(Debug)]
 pub struct Sender<M> {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Returns who stands at the other side.
+    /// Returns the peer's identity.
     #[must_use]
     pub fn peer(&self) -> &Identity {
         &self.shared.identity
@@ -58,13 +58,13 @@
         &self.shared.stats
     }
 
-    /// Waits until the link has ended and returns why.
+    /// Waits until the link has ended and returns the reason.
     pub async fn closed(&self) -> Reason {
         self.shared.ended().await
     }
 
-    /// Writes what is queued and closes the link, telling the peer `reason`.
-    /// Later messages are refused.
+    /// Writes the queued messages and closes the link with `reason`. Later
+    /// messages are refused.
     pub async fn close(&self, reason: &str) {
         let _ = self.queue.send(Outgoing::Close(reason.to_owned())).await;
     }
@@ -83,7 +83,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`Cause::Full`] if the queue has no room, [`Cause::Oversized`]
+    /// Returns [`Cause::Full`] if the queue is full, [`Cause::Oversized`]
     /// if the message exceeds the limit, [`Cause::Malformed`] if it can't be
     /// encoded and [`Cause::Closed`] if the link has ended.
     pub fn try_send(&self, message: &M) -> Result<(), Error> {
@@ -100,11 +100,11 @@
         })
     }
 
-    /// Queues `message`, waiting for room.
+    /// Queues `message`, waiting while the queue is full.
     ///
     /// # Errors
     ///
-    /// Returns the errors of [`Sender::try_send`] but for [`Cause::Full`].
+    /// Returns the errors of [`Sender::try_send`] except [`Cause::Full`].
     pub async fn send(&self, message: &M) -> Result<(), Error> {
         let bytes = self.encode(message)?;
         let charged = self.shared.outgoing.charge(bytes).await;
--- a/crates/link/src/shared.rs
+++ b/crates/link/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the halves and the tasks of a link share.
+//! The state shared by the halves and the tasks of a link.
 
 use std::sync::{Arc, OnceLock};
 
@@ -9,7 +9,7 @@
 use crate::error::{Cause, Error, Step};
 use crate::{Identity, Options, Reason, Stats};
 
-/// What the halves and the tasks of a link share.
+/// The state shared by the halves and the tasks of a link.
 #[derive(Debug)]
 pub(crate) struct Shared {
     pub(crate) peer: Arc<str>,
@@ -52,14 +52,14 @@
         }
     }
 
-    /// Returns the error of a call that comes after the link's end.
+    /// Returns the error of a call after the link has ended.
     pub(crate) fn closed(&self, step: Step) -> Error {
         let reason = self.ended.borrow().clone();
         let reason = reason.unwrap_or_else(|| Reason::Local(self.closing_text().to_owned()));
         self.error(step, Cause::Closed(reason))
     }
 
-    /// Notes that this side has begun to close the link.
+    /// Records that this side has started to close the link.
     pub(crate) fn begin_close(&self, text: String) {
         let _ = self.closing.set(text);
     }
@@ -72,7 +72,7 @@
         self.closing.get().map_or("closing", String::as_str)
     }
 
-    /// Ends the link; the first reason stays.
+    /// Ends the link. Only the first reason is recorded.
     pub(crate) fn end(&self, reason: Reason) {
         let first = self.ended.send_if_modified(|ended| {
             let first = ended.is_none();
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Waits for the link's end.
+    /// Waits until the link has ended and returns the reason.
     pub(crate) async fn ended(&self) -> Reason {
         let mut ended = self.ended.subscribe();
         match ended.wait_for(Option::is_some).await.as_deref() {
--- a/crates/link/src/stats.rs
+++ b/crates/link/src/stats.rs
@@ -5,7 +5,7 @@
 use cactusnotch_telemetry::metric;
 use metrics::Counter;
 
-/// One direction's counters.
+/// The counters of one direction.
 #[derive(Debug)]
 struct Direction {
     bytes: AtomicU64,
@@ -50,25 +50,25 @@
         }
     }
 
-    /// Returns how many bytes have been received.
+    /// Returns the number of received bytes.
     #[must_use]
     pub fn bytes_in(&self) -> u64 {
         self.incoming.bytes.load(Ordering::Relaxed)
     }
 
-    /// Returns how many bytes have been sent.
+    /// Returns the number of sent bytes.
     #[must_use]
     pub fn bytes_out(&self) -> u64 {
         self.outgoing.bytes.load(Ordering::Relaxed)
     }
 
-    /// Returns how many messages have been received.
+    /// Returns the number of received messages.
     #[must_use]
     pub fn messages_in(&self) -> u64 {
         self.incoming.messages.load(Ordering::Relaxed)
     }
 
-    /// Returns how many messages have been handed to the connection.
+    /// Returns the number of messages passed to the connection.
     #[must_use]
     pub fn messages_out(&self) -> u64 {
         self.outgoing.messages.load(Ordering::Relaxed)
--- a/crates/link/src/writer.rs
+++ b/crates/link/src/writer.rs
@@ -18,13 +18,13 @@
 use crate::sender::Outgoing;
 use crate::shared::Shared;
 
-/// How long the close frame of a failed link may take.
-const FAREWELL_TIMEOUT: Duration = Duration::from_secs(1);
+/// The timeout for sending the close frame after the link has ended.
+const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The longest reason that a close frame holds, in bytes.
+/// The longest reason that a close frame can carry, in bytes.
 const CLOSE_TEXT_LIMIT: usize = 123;
 
-/// What the task does after a step.
+/// Whether the task continues after a step.
 enum Next {
     Continue,
     Finish,
@@ -52,8 +52,8 @@
             }
         };
         if let Some(reason) = ended {
-            let farewell = self.sink.send(close_frame(&reason));
-            let _ = timeout(FAREWELL_TIMEOUT, farewell).await;
+            let close = self.sink.send(close_frame(&reason));
+            let _ = timeout(CLOSE_TIMEOUT, close).await;
         }
     }
 
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Writes everything that waits, then flushes once.
+    /// Writes all queued messages, then flushes once.
     async fn write_batch(&mut self, first: Option<Outgoing>) -> Result<Next, Error> {
         let mut next = first.unwrap_or_else(|| Outgoing::Close("finished".to_owned()));
         loop {
--- a/crates/link/tests/common/mod.rs
+++ b/crates/link/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of links share.
+//! Helpers shared by the tests of links.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 /// The secret of the tests' cluster.
 const SECRET: &[u8] = b"the secret of the tests' cluster";
 
-/// Returns who the process called `name` is.
+/// Returns the identity of the process called `name`.
 fn identity(name: &str) -> Identity {
     Identity {
         process: name.into(),
@@ -19,10 +19,10 @@
     }
 }
 
-/// Bounds that a busy machine doesn't reach on the wall clock.
+/// A timeout that a loaded machine does not reach in wall-clock time.
 const LONG: Duration = Duration::from_mins(1);
 
-/// Returns options of the process called `name`.
+/// Returns the options of the process called `name`.
 pub fn options(name: &str) -> Options {
     Options {
         handshake_timeout: LONG,
--- a/crates/link/tests/handshake.rs
+++ b/crates/link/tests/handshake.rs
@@ -1,7 +1,7 @@
-//! Who is let in, and what becomes of the others.
+//! The handshake accepts members of the cluster and refuses all other peers.
 #![expect(
     clippy::disallowed_methods,
-    reason = "the runtime's paused clock is what bounds are exact by"
+    reason = "time bounds are exact under the runtime's paused clock"
 )]
 
 mod common;
@@ -111,7 +111,7 @@
     stream.write_all(bytes).await.unwrap();
 }
 
-/// A stranger answers with the dialer's own hello and its own proof.
+/// An unauthenticated peer reflects the dialer's hello and proof.
 #[tokio::test(start_paused = true)]
 async fn reflected_proof_is_refused() {
     let (near, mut stranger) = duplex(PIPE);
@@ -129,7 +129,7 @@
     assert!(matches!(error.cause, Cause::Forged), "{error}");
 }
 
-/// The clock stands still but for timers, so the time bound is exact.
+/// The paused clock advances only to timers, so the time bound is exact.
 #[tokio::test(start_paused = true)]
 async fn slow_handshake_is_cut_off_in_time() {
     let options = Options {
@@ -145,7 +145,8 @@
     assert_eq!(start.elapsed(), options.handshake_timeout);
 }
 
-/// Strangers of each kind hang on a listener while a member gets in.
+/// A member connects while unauthenticated peers of several kinds occupy the
+/// listener.
 #[tokio::test]
 async fn hostile_strangers_are_refused_and_disturb_nobody() {
     let mut listener = Listener::<String>::bind("127.0.0.1:0", options("agent"))
@@ -153,9 +154,9 @@
         .unwrap();
     let address = listener.address();
     let stranger = || async { TcpStream::connect(address).await.unwrap() };
-    let mut silent = Vec::new();
+    let mut idle = Vec::new();
     for _ in 0..50 {
-        silent.push(stranger().await);
+        idle.push(stranger().await);
     }
     let refused_for = async |listener: &mut Listener<String>, bytes: &[u8]| {
         let mut stream = stranger().await;
--- a/crates/link/tests/limits.rs
+++ b/crates/link/tests/limits.rs
@@ -1,7 +1,7 @@
-//! What a link bears: silence, slow receivers and large messages.
+//! Limits of a link: idle peers, slow receivers and large messages.
 #![expect(
     clippy::disallowed_methods,
-    reason = "the runtime's paused clock is what bounds are exact by"
+    reason = "time bounds are exact under the runtime's paused clock"
 )]
 
 mod common;
@@ -28,7 +28,7 @@
     (left.unwrap(), right.unwrap())
 }
 
-/// Carries bytes between two pipes until it is told to hold them back.
+/// Forwards bytes between two pipes until the returned sender is signalled.
 fn wire() -> (DuplexStream, DuplexStream, tokio::sync::oneshot::Sender<()>) {
     let (near, mut inner_near) = duplex(PIPE);
     let (far, mut inner_far) = duplex(PIPE);
@@ -93,7 +93,7 @@
     let payload = vec![b'x'; MESSAGE];
     let mut sent = 0;
     let mut refusals = 0;
-    // Enough rounds for the tasks to fill whatever holds messages.
+    // Enough rounds for the tasks to fill all buffers.
     while refusals < 100 {
         match sender.try_send(&(sent, payload.clone())) {
             Ok(()) => sent += 1,
--- a/crates/link/tests/link.rs
+++ b/crates/link/tests/link.rs
@@ -1,4 +1,4 @@
-//! Links between two processes that belong together.
+//! Links between two processes of one cluster.
 
 mod common;
 
--- a/crates/link/tests/metrics.rs
+++ b/crates/link/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! What links count.
+//! The metrics of links.
 
 mod common;
 
@@ -6,7 +6,7 @@
 use cactusnotch_telemetry::{Exporter, metric};
 use common::options;
 
-async fn use_links() -> u64 {
+async fn exercise_links() -> u64 {
     let forged = Options {
         secrets: vec![Secret::new("quite another secret").unwrap()],
         ..options("stranger")
@@ -45,7 +45,7 @@
         .build()
         .unwrap();
     let scrape = metrics::with_local_recorder(&recorder, || {
-        let sent = runtime.block_on(use_links());
+        let sent = runtime.block_on(exercise_links());
         assert!(sent > 0);
         exporter.render()
     });
--- a/crates/objects/src/http.rs
+++ b/crates/objects/src/http.rs
@@ -10,15 +10,16 @@
 use crate::object::{Changes, Condition, Object, Path, Version};
 use crate::store::{Error, Store};
 
-/// The largest answer that is read, in bytes: a listing of large objects.
+/// The largest response that is read, in bytes, which suffices for a listing of
+/// large objects.
 const ANSWER_LIMIT: u64 = 64 << 20;
 
-/// How a client reaches the platform.
+/// Configuration of a client.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The base address, such as `http://127.0.0.1:7000`.
     pub base: String,
-    /// How long a call may take, beyond the time a watch waits.
+    /// The timeout of a call, in addition to the wait of a watch.
     pub timeout: Duration,
 }
 
@@ -36,7 +37,7 @@
 }
 
 impl Client {
-    /// Creates a client; no connection is made before the first call.
+    /// Creates a client. Connects on the first call.
     #[must_use]
     pub fn new(options: &Options) -> Self {
         let agent = Agent::config_builder()
--- a/crates/objects/src/lib.rs
+++ b/crates/objects/src/lib.rs
@@ -1,8 +1,8 @@
 //! Client of the platform's object API: versions, conditional updates and
 //! watches.
 //!
-//! [`Store`] is the interface that the rest of the workspace uses, and
-//! [`http::Client`] speaks the protocol written down in `docs/PLATFORM.md`.
+//! [`Store`] is the interface that the other crates use, and [`http::Client`]
+//! implements the protocol of `docs/PLATFORM.md`.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/objects/src/object.rs
+++ b/crates/objects/src/object.rs
@@ -9,7 +9,7 @@
 #[serde(transparent)]
 pub struct Version(pub u64);
 
-/// Where an object is found.
+/// The path of an object.
 #[identifier]
 #[derive(Display)]
 #[display("{kind}/{name}")]
@@ -30,12 +30,12 @@
     }
 }
 
-/// An object as the platform holds it.
+/// An object as stored by the platform.
 #[message]
 pub struct Object {
-    /// Where the object is found.
+    /// The path of the object.
     pub path: Path,
-    /// The version of its last write; zero versions do not occur.
+    /// The version of its last write, above zero.
     pub version: Version,
     /// The value, at most a megabyte as JSON.
     pub value: serde_json::Value,
@@ -49,11 +49,11 @@
     Absent,
     /// The object exists at this version.
     Version(Version),
-    /// None: the last writer wins.
+    /// No condition: the last writer wins.
     Always,
 }
 
-/// What changed in a kind since a version.
+/// The changes in a kind since a version.
 #[message]
 pub struct Changes {
     /// The version up to which `objects` and `removed` are complete.
--- a/crates/objects/src/store.rs
+++ b/crates/objects/src/store.rs
@@ -6,7 +6,7 @@
 
 use crate::object::{Changes, Condition, Object, Path, Version};
 
-/// A call to the platform that brought no result.
+/// A failed call to the platform.
 ///
 /// Each variant names the step and the peer through `path` and `detail`.
 #[derive(Debug, Clone, Display, Error)]
@@ -16,7 +16,7 @@
     Conflict {
         /// The object of the call.
         path: Path,
-        /// The object as it stands, if it exists.
+        /// The current object, if it exists.
         current: Option<Box<Object>>,
     },
     /// The platform refused the call, and nothing was written.
@@ -27,12 +27,12 @@
         /// The platform's answer.
         detail: String,
     },
-    /// No answer came; a write may or may not have taken effect.
+    /// No valid answer was received. A write may or may not have taken effect.
     #[display("call for {path}: no answer from the platform: {detail}")]
     Unanswered {
         /// The object of the call.
         path: Path,
-        /// The failure of the transport.
+        /// The failure of the transport or the server.
         detail: String,
     },
 }
@@ -50,8 +50,9 @@
     ///
     /// # Errors
     ///
-    /// [`Error::Conflict`] with the object as it stands; after
-    /// [`Error::Unanswered`] the caller reads back to learn the effect.
+    /// [`Error::Conflict`] with the current object. After
+    /// [`Error::Unanswered`] the caller must read the object to determine the
+    /// effect.
     fn put(
         &self,
         path: &Path,
@@ -66,8 +67,8 @@
     /// As for [`Store::put`].
     fn delete(&self, path: &Path, condition: Condition) -> Result<(), Error>;
 
-    /// Reads what changed in `kind` after version `after`, and waits for up
-    /// to `wait` for the first change. `after` zero reads the whole kind.
+    /// Reads the changes in `kind` after version `after`, and waits up to `wait`
+    /// for the first change. With `after` zero, reads the whole kind.
     ///
     /// # Errors
     ///
--- a/crates/options/src/common.rs
+++ b/crates/options/src/common.rs
@@ -67,8 +67,8 @@
 }
 
 impl Common {
-    /// Returns who the process called `process` is. An incarnation that isn't
-    /// set is the wall-clock time `started` in milliseconds.
+    /// Returns the identity of the process called `process`. The incarnation
+    /// defaults to the wall-clock time `started` in milliseconds.
     #[must_use]
     pub fn identity(&self, process: Process, role: Role, started: SystemTime) -> Identity {
         Identity {
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Returns the options of links for the process that `identity` names.
+    /// Returns the link options of the process with `identity`.
     #[must_use]
     pub fn link(&self, identity: Identity) -> link::Options {
         self.links.link(identity, &self.secrets.list)
--- a/crates/options/src/lib.rs
+++ b/crates/options/src/lib.rs
@@ -1,9 +1,9 @@
 //! Settings that the processes of cactusnotch share, checked at start.
 //!
-//! Every setting is a flag and an environment variable whose name is the
-//! flag's in capitals after `CACTUSNOTCH_`; the flag goes first. A value that
-//! isn't allowed is refused with a message that names the flag, the value and
-//! what is allowed.
+//! Every setting is a flag and an environment variable. The variable's name is
+//! the flag's in capitals with the prefix `CACTUSNOTCH_`; the flag takes
+//! precedence. An invalid value is refused with a message that names the flag,
+//! the value and the allowed values.
 //!
 //! ```
 //! use bpaf::{Bpaf, Parser};
--- a/crates/options/src/links.rs
+++ b/crates/options/src/links.rs
@@ -47,8 +47,8 @@
 const PING_INTERVAL: Duration = Duration::from_secs(2);
 const IDLE_TIMEOUT: Duration = Duration::from_secs(6);
 
-/// How many pings go into one idle timeout at least, so that a single late
-/// one doesn't end a link.
+/// The fewest pings per idle timeout. With two, a single late ping does not end
+/// a link.
 const PINGS_PER_TIMEOUT: u32 = 2;
 
 const DISAGREE: &str = "--link-idle-timeout (CACTUSNOTCH_LINK_IDLE_TIMEOUT) has to be at least \
@@ -59,7 +59,7 @@
         self.ping_interval.saturating_mul(PINGS_PER_TIMEOUT) <= self.idle_timeout
     }
 
-    /// Returns the options of links for the process that `identity` names.
+    /// Returns the link options of the process with `identity`.
     #[must_use]
     pub fn link(&self, identity: link::Identity, secrets: &[link::Secret]) -> link::Options {
         link::Options {
--- a/crates/options/src/secrets.rs
+++ b/crates/options/src/secrets.rs
@@ -9,10 +9,10 @@
 
 use crate::value::variable;
 
-/// Holds the current secret, if there is no file.
+/// The variable that holds the current secret if no file is given.
 const CURRENT: &str = "CACTUSNOTCH_SECRET";
 
-/// Holds the previous secret, if there is no file.
+/// The variable that holds the previous secret if no file is given.
 const PREVIOUS: &str = "CACTUSNOTCH_PREVIOUS_SECRET";
 
 /// The cluster's secrets: the current one and, during a rotation, the
@@ -23,25 +23,25 @@
     pub list: Vec<Secret>,
 }
 
-/// Why there is no secret.
+/// A failure to read the secrets.
 #[derive(Debug, Display, StdError)]
 pub enum Error {
-    /// A file can't be read.
+    /// A file cannot be read.
     #[display("--{flag} ({}): can't read {}: {source}", variable(flag), path.display())]
     Unreadable {
         /// The flag that names the file.
         flag: &'static str,
         /// The file.
         path: PathBuf,
-        /// Why it can't be read.
+        /// The error of the read.
         source: std::io::Error,
     },
-    /// A secret isn't allowed.
+    /// A secret is invalid.
     #[display("{origin}: {source}")]
     Refused {
-        /// Where the secret comes from.
+        /// The source of the secret: a file or a variable.
         origin: String,
-        /// Why it isn't allowed.
+        /// The reason why it is invalid.
         source: secret::Error,
     },
     /// No secret is given.
@@ -77,22 +77,23 @@
 
 /// Returns the parser of [`Secrets`].
 ///
-/// A secret itself is no flag, because other users of a host see the command
-/// lines of its processes; it stays out of help and errors too.
+/// No flag takes a secret itself, because other users of a host can read the
+/// command lines of its processes. Help and errors do not contain it either.
 #[must_use]
 pub fn secrets() -> impl Parser<Secrets> {
     files().parse(|files| read(&files))
 }
 
 fn read(files: &Files) -> Result<Secrets, Error> {
-    let current = one("secret-file", files.current.as_deref(), CURRENT)?.ok_or(Error::Missing)?;
-    let previous = one("previous-secret-file", files.previous.as_deref(), PREVIOUS)?;
+    let current =
+        read_secret("secret-file", files.current.as_deref(), CURRENT)?.ok_or(Error::Missing)?;
+    let previous = read_secret("previous-secret-file", files.previous.as_deref(), PREVIOUS)?;
     Ok(Secrets {
         list: [Some(current), previous].into_iter().flatten().collect(),
     })
 }
 
-fn one(
+fn read_secret(
     flag: &'static str,
     path: Option<&Path>,
     variable: &'static str,
@@ -110,7 +111,8 @@
         .map_err(|source| Error::Refused { origin, source })
 }
 
-/// Reads a file but for the line end that editors leave.
+/// Reads a file without trailing white space, such as the line end that editors
+/// append.
 fn from_file(flag: &'static str, path: &Path) -> Result<Vec<u8>, Error> {
     let bytes = fs::read(path).map_err(|source| Error::Unreadable {
         flag,
--- a/crates/options/src/value.rs
+++ b/crates/options/src/value.rs
@@ -1,4 +1,4 @@
-//! Values of settings, with what is allowed for each.
+//! Values of settings and their validation.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,41 +12,41 @@
 /// The longest name of a host, a data centre or a region, in bytes.
 const MAX_NAME: usize = 64;
 
-/// A value that can be read from a setting's text.
+/// A value that can be parsed from a setting's text.
 pub trait Value: Sized {
-    /// What is allowed, in words that end an error message.
+    /// The allowed values, worded as the end of an error message.
     const ALLOWED: &'static str;
 
-    /// Reads the value, or returns `None` if the text isn't allowed.
+    /// Parses the value, or returns `None` if the text is invalid.
     fn read(text: &str) -> Option<Self>;
 }
 
-/// A setting whose value isn't allowed.
+/// A setting with an invalid value.
 #[derive(Debug, Clone, PartialEq, Eq, Display, StdError)]
 #[display("--{flag} ({variable}): {value:?} isn't allowed; allowed: {allowed}")]
 pub struct Error {
     /// The flag, without its dashes.
     pub flag: &'static str,
-    /// The environment variable that stands for the flag.
+    /// The environment variable of the flag.
     pub variable: String,
     /// The refused value.
     pub value: String,
-    /// What is allowed.
+    /// The allowed values.
     pub allowed: &'static str,
 }
 
-/// Returns the name of the environment variable that stands for `flag`.
+/// Returns the name of the environment variable of `flag`.
 #[must_use]
 pub fn variable(flag: &str) -> String {
     format!("CACTUSNOTCH_{}", flag.to_uppercase().replace('-', "_"))
 }
 
-/// Returns a function that reads the value of `flag`, which is named without
+/// Returns a function that parses the value of `flag`, which is named without
 /// its dashes.
 ///
 /// # Errors
 ///
-/// The function returns an [`Error`] if the value isn't allowed.
+/// The function returns an [`Error`] if the value is invalid.
 pub fn checked<V: Value>(flag: &'static str) -> impl Fn(String) -> Result<V, Error> {
     move |text| {
         V::read(&text).ok_or_else(|| Error {
--- a/crates/options/tests/environment.rs
+++ b/crates/options/tests/environment.rs
@@ -1,4 +1,4 @@
-//! Environment variables stand for flags.
+//! Environment variables set the values of flags.
 
 use std::process::Command;
 
@@ -7,8 +7,8 @@
 
 const CHILD: &str = "CACTUSNOTCH_TEST_CHILD";
 
-/// Parses no flags in a process with these variables alone and returns what
-/// it says.
+/// Parses no flags in a process with only these variables and returns its
+/// output.
 fn parse_with(variables: &[(&str, &str)]) -> String {
     let output = Command::new(std::env::current_exe().unwrap())
         .args(["--exact", "variables_stand_for_flags", "--nocapture"])
--- a/crates/options/tests/settings.rs
+++ b/crates/options/tests/settings.rs
@@ -1,4 +1,4 @@
-//! What settings are taken and what is said of the others.
+//! Valid settings are accepted, and invalid ones are refused with a message.
 
 use std::fs;
 use std::path::PathBuf;
@@ -22,7 +22,7 @@
     path
 }
 
-/// Runs the parser with valid settings, but for those that `changed` replaces.
+/// Runs the parser with valid settings, except for those that `changed` replaces.
 fn run(changed: &[(&str, &str)]) -> Result<Common, String> {
     static FILE: OnceLock<PathBuf> = OnceLock::new();
     let secret = FILE.get_or_init(|| file("secret", &format!("{SECRET}\n")));
@@ -44,7 +44,7 @@
         .map_err(|failure| failure.unwrap_stderr())
 }
 
-/// Undoes the wrapping of lines, which depends on the length of paths.
+/// Joins wrapped lines, since the wrapping depends on the length of paths.
 fn one_line(text: &str) -> String {
     text.split_whitespace().collect::<Vec<_>>().join(" ")
 }
--- a/crates/telemetry/src/counters.rs
+++ b/crates/telemetry/src/counters.rs
@@ -1,18 +1,18 @@
-//! The counters' line in the log.
+//! The summary of counters in the log.
 
 use std::fmt::Write as _;
 
 use cactusnotch_base::Table;
 
-/// The values of the last line, to show only what has changed since.
+/// The values of the last summary, kept to report only changes.
 #[derive(Debug, Default)]
 pub struct Summary {
     last: Table<String, String>,
 }
 
 impl Summary {
-    /// Returns the series of `scrape` that have changed since the last call,
-    /// as `name=value` pairs, or `None` if none has.
+    /// Returns the series of `scrape` that have changed since the last call, as
+    /// `name=value` pairs, or `None` if no series has.
     pub fn next(&mut self, scrape: &str) -> Option<String> {
         let mut line = String::new();
         for (series, value) in scrape.lines().filter_map(sample) {
@@ -27,7 +27,8 @@
     }
 }
 
-/// Splits a sample of the scrape; comments and buckets aren't samples.
+/// Splits a sample of the scrape into series and value; `None` for comments and
+/// buckets.
 fn sample(line: &str) -> Option<(&str, &str)> {
     if line.starts_with('#') || line.contains("_bucket{") {
         return None;
--- a/crates/telemetry/src/exporter.rs
+++ b/crates/telemetry/src/exporter.rs
@@ -1,4 +1,4 @@
-//! Metrics in the text form that is scraped.
+//! The Prometheus exporter.
 
 use derive_more::{Display, Error};
 use metrics_exporter_prometheus::{
@@ -20,7 +20,7 @@
     handle: PrometheusHandle,
 }
 
-/// Why metrics can't be collected.
+/// A failure to set up the collection of metrics.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("install the metrics' recorder: {detail}")]
 pub struct Error {
@@ -28,11 +28,11 @@
 }
 
 impl Exporter {
-    /// Collects the metrics of this process from now on.
+    /// Installs the global recorder and returns its exporter.
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] if the process collects metrics already.
+    /// Returns an [`Error`] if the process already has a recorder.
     pub fn install() -> Result<Self, Error> {
         let (recorder, exporter) = Self::recorder()?;
         metrics::set_global_recorder(recorder).map_err(failed)?;
@@ -44,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an [`Error`] if the recorder can't be made.
+    /// Returns an [`Error`] if the buckets of a histogram are invalid.
     pub fn recorder() -> Result<(PrometheusRecorder, Self), Error> {
         let mut builder = PrometheusBuilder::new();
         for metric in TABLE.iter().filter(|metric| metric.kind == Kind::Histogram) {
@@ -58,7 +58,7 @@
         Ok((recorder, Self { handle }))
     }
 
-    /// Returns all metrics as text, after reading those of the process anew.
+    /// Refreshes the metrics of the process and returns all metrics as text.
     #[must_use]
     pub fn render(&self) -> String {
         process::refresh();
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
 //! Logs, traces and metrics of the processes of cactusnotch.
 //!
-//! Counters come first: what happens often is counted and can be scraped,
-//! and the log has lines only for changes of state, for the spans of sampled
-//! requests and for one summary of the counters per interval.
+//! Frequent events are counted and scraped. The log has lines only for changes
+//! of state, for the spans of sampled requests and for one summary of the
+//! counters per interval.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
--- a/crates/telemetry/src/log.rs
+++ b/crates/telemetry/src/log.rs
@@ -8,7 +8,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 use tracing_subscriber::util::SubscriberInitExt;
 
-/// The form of the log's lines.
+/// The format of the log's lines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, FromStr)]
 pub enum Format {
     /// One line of text per event, for people.
@@ -19,27 +19,27 @@
     Json,
 }
 
-/// How a process logs.
+/// Configuration of the log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Options {
-    /// The form of the lines.
+    /// The format of the lines.
     pub format: Format,
-    /// The least important level that is written.
+    /// The least severe level that is written.
     pub level: LevelFilter,
 }
 
-/// The process has a log already.
+/// A failure to install the log: the process already has one.
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 #[display("install the log: {detail}")]
 pub struct Error {
     detail: String,
 }
 
-/// Writes the log of this process to its standard error from now on.
+/// Installs the log of this process, which writes to standard error.
 ///
 /// # Errors
 ///
-/// Returns an [`Error`] if the process has a log already.
+/// Returns an [`Error`] if the process already has a log.
 pub fn install(options: &Options) -> Result<(), Error> {
     let installed = match options.format {
         Format::Text => text(options.level, io::stderr).try_init(),
--- a/crates/telemetry/src/metric.rs
+++ b/crates/telemetry/src/metric.rs
@@ -8,10 +8,10 @@
 /// The kind of a metric.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum Kind {
-    /// A number that only grows while the process lives.
+    /// A number that only grows during the lifetime of the process.
     #[display("counter")]
     Counter,
-    /// A number that goes up and down.
+    /// A number that can increase and decrease.
     #[display("gauge")]
     Gauge,
     /// A distribution, in buckets.
@@ -19,18 +19,18 @@
     Histogram,
 }
 
-/// What a metric is called and means.
+/// The description of a metric.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Metric {
-    /// The name, as it is scraped.
+    /// The name in the scrape.
     pub name: &'static str,
     /// The kind.
     pub kind: Kind,
     /// The unit of its values.
     pub unit: Unit,
-    /// The labels that tell its series apart.
+    /// The labels that distinguish its series.
     pub labels: &'static [&'static str],
-    /// What it means.
+    /// The help text.
     pub help: &'static str,
 }
 
@@ -149,7 +149,8 @@
     at.ok().map(|at| &TABLE[at])
 }
 
-/// Tells the installed recorder the unit and the meaning of every metric.
+/// Registers the unit and the help text of every metric with the installed
+/// recorder.
 pub fn describe() {
     for metric in TABLE {
         match metric.kind {
--- a/crates/telemetry/src/process.rs
+++ b/crates/telemetry/src/process.rs
@@ -1,21 +1,22 @@
-//! What the kernel says of this process.
+//! Metrics of this process from `/proc`.
 
 use std::fs;
 
 use crate::metric;
 
-/// The kernel's clock ticks per second in `/proc`, fixed by its interface to
-/// user programs.
+/// The clock ticks per second in `/proc`, fixed by the kernel's interface to user
+/// space.
 const TICKS_PER_SECOND: u64 = 100;
 
 /// The microseconds of one tick.
 const TICK_MICROSECONDS: u64 = 1_000_000 / TICKS_PER_SECOND;
 
-/// Where the times stand in `/proc/self/stat` after the program's name.
+/// The index of the user time in `/proc/self/stat`, counted after the program's
+/// name.
 const USER_TIME_FIELD: usize = 11;
 
-/// Sets the metrics of the process; what the kernel doesn't tell stays as it
-/// was.
+/// Updates the metrics of the process. A metric whose source cannot be read keeps
+/// its value.
 pub(crate) fn refresh() {
     if let Some(ticks) = fs::read_to_string("/proc/self/stat")
         .ok()
--- a/crates/telemetry/src/service.rs
+++ b/crates/telemetry/src/service.rs
@@ -1,4 +1,4 @@
-//! The log and the metrics of a process, started together.
+//! Start-up of the log and the metrics of a process.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use crate::counters::Summary;
 use crate::{Exporter, log};
 
-/// The threads that answer scrapes.
+/// The number of threads that serve scrapes.
 const SCRAPE_THREADS: usize = 2;
 
-/// The log or the metrics could not be started.
+/// A failure to start the log or the metrics.
 #[derive(Debug, Display, Error)]
 pub enum Error {
     /// The log could not be installed.
@@ -24,29 +24,29 @@
     /// The port for scrapes could not be opened.
     #[display("metrics port {address}: {detail}")]
     Listen {
-        /// The address that was asked for.
+        /// The requested address.
         address: SocketAddr,
         /// The failure.
         detail: String,
     },
 }
 
-/// How a process logs and is scraped.
+/// Configuration of the log and the metrics.
 #[derive(Debug, Clone)]
 pub struct Options {
     /// The log.
     pub log: log::Options,
-    /// Where metrics are scraped, if they are.
+    /// The address on which metrics are served, if they are.
     pub metrics_listen: Option<SocketAddr>,
-    /// How often changed counters are logged.
+    /// The interval at which changed counters are logged.
     pub counters_interval: Duration,
 }
 
-/// Starts the log and the metrics of this process, for as long as it lives.
+/// Starts the log and the metrics for the lifetime of this process.
 ///
 /// # Errors
 ///
-/// Fails if either is installed already or the port cannot be opened.
+/// Fails if either is already installed or the port cannot be opened.
 pub fn start(options: &Options) -> Result<(), Error> {
     log::install(&options.log).map_err(Error::Log)?;
     let exporter = Exporter::install().map_err(Error::Metrics)?;
--- a/crates/telemetry/src/trace.rs
+++ b/crates/telemetry/src/trace.rs
@@ -1,4 +1,4 @@
-//! Traces of requests across processes, by the W3C's trace context.
+//! Traces of requests across processes, in the W3C trace context format.
 
 mod context;
 pub mod id;
--- a/crates/telemetry/src/trace/context.rs
+++ b/crates/telemetry/src/trace/context.rs
@@ -1,4 +1,4 @@
-//! The part of a trace that travels with a request.
+//! The trace context that is propagated with a request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -15,10 +15,10 @@
 /// The length of a header of version 00, in bytes.
 const LENGTH: usize = 55;
 
-/// The flag that says that a trace is sampled.
+/// The flag of a sampled trace.
 const SAMPLED: u8 = 1;
 
-/// The part of a trace that travels with a request, in messages and in the
+/// The trace context that is propagated with a request, in messages and in the
 /// `traceparent` header.
 ///
 /// ```
@@ -41,7 +41,7 @@
     pub sampled: bool,
 }
 
-/// A header that isn't a trace context.
+/// A header that is not a valid trace context.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, StdError)]
 #[display("not a traceparent: {expected} expected")]
 pub struct Error {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Continues the trace of a caller's header; a missing or a malformed
-    /// header starts a new trace, as the standard asks for.
+    /// Continues the trace of a caller's header. A missing or malformed header
+    /// starts a new trace, as the standard requires.
     pub fn from_header(header: Option<&str>, random: &mut impl Rng, sampled: bool) -> Self {
         header
             .and_then(|text| text.parse().ok())
@@ -90,7 +90,8 @@
 impl FromStr for Context {
     type Err = Error;
 
-    /// Reads a header of version 00, or the known part of a later version's.
+    /// Parses a header of version 00, or the fields of that version in a later
+    /// one.
     fn from_str(text: &str) -> Result<Self, Error> {
         let mut fields = text.split('-');
         let version = fields
--- a/crates/telemetry/src/trace/id.rs
+++ b/crates/telemetry/src/trace/id.rs
@@ -17,12 +17,12 @@
 pub struct Span(u64);
 
 impl Trace {
-    /// Draws an identifier from `random`.
+    /// Generates an identifier from `random`.
     pub fn random(random: &mut impl Rng) -> Self {
         Self(random.random(), random.random_range(1..=u64::MAX))
     }
 
-    /// Reads 32 lower-case hexadecimal digits that aren't all zero.
+    /// Parses 32 lower-case hexadecimal digits that are not all zero.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let (high, low) = text.split_at_checked(DIGITS)?;
@@ -32,12 +32,12 @@
 }
 
 impl Span {
-    /// Draws an identifier from `random`.
+    /// Generates an identifier from `random`.
     pub fn random(random: &mut impl Rng) -> Self {
         Self(random.random_range(1..=u64::MAX))
     }
 
-    /// Reads 16 lower-case hexadecimal digits that aren't all zero.
+    /// Parses 16 lower-case hexadecimal digits that are not all zero.
     #[must_use]
     pub fn parse(text: &str) -> Option<Self> {
         let id = Self(digits(text)?);
@@ -45,7 +45,7 @@
     }
 }
 
-/// The hexadecimal digits of 64 bits.
+/// The number of hexadecimal digits of 64 bits.
 const DIGITS: usize = 16;
 
 fn digits(text: &str) -> Option<u64> {
--- a/crates/telemetry/src/trace/span.rs
+++ b/crates/telemetry/src/trace/span.rs
@@ -9,13 +9,13 @@
 /// The target under which spans are logged.
 pub const TARGET: &str = "cactusnotch::span";
 
-/// What a span that nobody finished says of its outcome.
+/// The outcome of a span that was dropped without [`Span::finish`].
 const DROPPED: &str = "dropped";
 
 /// One hop of a request, written to the log when it ends.
 ///
-/// A span is a plain value, not bound to a thread or a task, so a hop may be
-/// begun in one place and ended in another. It is written as one event with
+/// A span is a plain value, not bound to a thread or a task, so a hop may start
+/// in one place and end in another. It is written as one event with
 /// its name, `trace_id`, `span_id`, `parent_id`, `duration_us` and `outcome`,
 /// if its trace is sampled.
 #[derive(Debug)]
@@ -29,7 +29,7 @@
 }
 
 impl<C: Clock> Span<C> {
-    /// Starts the first span of a trace, whose context is `context`.
+    /// Starts the root span of a trace with `context`.
     pub fn root(name: &'static str, context: Context, clock: C) -> Self {
         Self {
             name,
@@ -41,15 +41,15 @@
         }
     }
 
-    /// Starts a span that `parent` caused, here or in another process.
+    /// Starts a child span of `parent`, which may belong to another process.
     pub fn child(name: &'static str, parent: &Context, random: &mut impl Rng, clock: C) -> Self {
         let mut span = Self::root(name, parent.child(random), clock);
         span.parent = Some(parent.span_id);
         span
     }
 
-    /// Returns what to send along with the request, so that the next hop's
-    /// span names this one as its parent.
+    /// Returns the context to propagate with the request. The next hop's span
+    /// records this one as its parent.
     #[must_use]
     pub const fn context(&self) -> Context {
         self.context
--- a/crates/telemetry/tests/metrics.rs
+++ b/crates/telemetry/tests/metrics.rs
@@ -1,4 +1,4 @@
-//! The table of metrics, the scrape and the counters' line.
+//! The table of metrics, the scrape and the summary of counters.
 
 use cactusnotch_telemetry::counters::Summary;
 use cactusnotch_telemetry::{Exporter, metric};
--- a/crates/telemetry/tests/trace.rs
+++ b/crates/telemetry/tests/trace.rs
@@ -16,7 +16,7 @@
 
 const HEADER: &str = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01";
 
-/// A place for log lines that a test can read.
+/// A buffer of log lines that a test can read.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<u8>>>);
 
--- a/crates/wire/src/announcement.rs
+++ b/crates/wire/src/announcement.rs
@@ -1,12 +1,12 @@
-//! An agent's statement of its endpoint's condition.
+//! An agent's announcement of its endpoint's state and load.
 
 use cactusnotch_base::name::Endpoint;
 use cactusnotch_base::number::Incarnation;
 use cactusnotch_derive::message;
 use cactusnotch_ledger::Age;
 
-/// An agent's statement of its endpoint's condition, sent when a link opens,
-/// at an interval, and when the agent begins to drain.
+/// An agent's announcement of its endpoint's state and load. Sent when a link
+/// opens, at an interval, and when the agent starts to drain.
 #[message]
 #[derive(Eq)]
 pub struct Announcement {
@@ -19,21 +19,21 @@
     /// The age of the agent.
     #[serde(rename = "a")]
     pub age: Age,
-    /// Whether the agent refuses new work since it is leaving.
+    /// Whether the agent refuses new work because it is leaving.
     #[serde(rename = "d")]
     pub draining: bool,
-    /// For how many milliseconds the endpoint takes no new work, if it takes none.
+    /// For how many milliseconds the endpoint accepts no new work, if it accepts none.
     #[serde(rename = "w", default)]
     pub withheld: Option<u32>,
-    /// The requests that the endpoint can run at once.
+    /// The number of requests that the endpoint can run at once.
     #[serde(rename = "s")]
     pub slots: u32,
-    /// The requests that run or wait.
+    /// The number of running and queued requests.
     #[serde(rename = "r")]
     pub requests: u32,
-    /// The part of `requests` that came by this link.
+    /// The number of `requests` received over this link.
     #[serde(rename = "m")]
     pub mine: u32,
-    /// The entries that have a link to the agent.
+    /// The number of entries that have a link to the agent.
     pub entries: u32,
 }
--- a/crates/wire/src/body.rs
+++ b/crates/wire/src/body.rs
@@ -1,4 +1,4 @@
-//! What a link carries.
+//! The messages that a link carries.
 
 use cactusnotch_admit::quota;
 use cactusnotch_derive::message;
@@ -7,22 +7,22 @@
 
 use crate::{Announcement, Dispatch, claim, group};
 
-/// What a link carries.
+/// A message on a link.
 #[message]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// An entry asks something of an agent about a request.
+    /// From an entry to an agent, about a request.
     Dispatch(Box<Dispatch>),
-    /// An agent replies about a request.
+    /// From an agent to an entry, about a request.
     Reply(Reply),
-    /// An agent states its endpoint's condition.
+    /// From an agent, on every link: the state and load of its endpoint.
     Announce(Announcement),
-    /// A process tells a peer of the settings and the roster.
+    /// Between processes, about the settings and the roster.
     Spread(Message),
-    /// An entry tells another one about claims of keys.
+    /// Between entries, about claims on keys.
     Claim(claim::Message),
-    /// An entry tells another one about organisations' caps.
+    /// Between entries, about organisations' caps.
     Quota(quota::Message),
-    /// An agent tells another one of its group of ranks.
+    /// Between the agents of a group of ranks.
     Group(group::Message),
 }
--- a/crates/wire/src/call.rs
+++ b/crates/wire/src/call.rs
@@ -1,9 +1,9 @@
-//! A call to an endpoint, as the caller made it.
+//! A call to an endpoint, as received from the caller.
 
 use bytes::Bytes;
 use cactusnotch_derive::message;
 
-/// A call to an endpoint, as the caller made it.
+/// A call to an endpoint, as received from the caller.
 #[message]
 #[derive(Eq)]
 pub struct Call {
@@ -11,9 +11,9 @@
     pub method: String,
     /// The path with its query.
     pub path: String,
-    /// The media type of the payload, if it was stated.
+    /// The media type of the payload, if the caller stated it.
     pub content_type: Option<String>,
-    /// The priority; a smaller one goes first.
+    /// The priority; smaller values are served first.
     pub priority: u8,
     /// The payload.
     pub payload: Bytes,
--- a/crates/wire/src/claim.rs
+++ b/crates/wire/src/claim.rs
@@ -1,21 +1,21 @@
-//! Claims that one entry makes at another.
+//! Messages between entries about claims.
 
 use cactusnotch_claim::{Answer, Claim};
 use cactusnotch_derive::message;
 use cactusnotch_ledger::Attempt;
 
-/// What entries tell one another about claims.
+/// A message between entries about claims.
 #[message]
 #[derive(Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Message {
-    /// The receiver is asked to record a claim.
+    /// Requests the receiver to record a claim.
     Ask(Claim),
-    /// What became of the claim of an attempt.
+    /// The result of the claim of an attempt.
     Answer {
         /// The attempt that the claim named.
         attempt: Attempt,
-        /// What became of it.
+        /// The result.
         answer: Answer,
     },
 }
--- a/crates/wire/src/dispatch.rs
+++ b/crates/wire/src/dispatch.rs
@@ -1,15 +1,15 @@
-//! A request to an agent with what the endpoint needs for it.
+//! A request to an agent with the call for its endpoint.
 
 use cactusnotch_derive::message;
 use cactusnotch_ledger::Request;
 
 use crate::Call;
 
-/// A request to an agent with what the endpoint needs for it.
+/// A request to an agent with the call for its endpoint.
 #[message]
 #[derive(Eq)]
 pub struct Dispatch {
-    /// What is asked of the agent.
+    /// The request to the agent.
     pub request: Request,
     /// The call, if the request may start a run.
     pub call: Option<Call>,
--- a/crates/wire/src/group.rs
+++ b/crates/wire/src/group.rs
@@ -10,16 +10,16 @@
 pub struct Message {
     /// The group.
     pub group: Group,
-    /// What is said.
+    /// The content.
     pub body: Body,
 }
 
-/// What an agent tells another one of its group.
+/// The content of a [`Message`].
 #[message]
 #[serde(rename_all = "kebab-case")]
 pub enum Body {
-    /// It takes part in the agreement on the expert map.
+    /// A message of the agreement on the expert map.
     Switch(switch::Message),
-    /// It passes on what its rank reports of the steps it has taken.
+    /// The reports of the sender's rank on its executed steps.
     Reports(Vec<Report>),
 }
--- a/crates/wire/src/head.rs
+++ b/crates/wire/src/head.rs
@@ -4,8 +4,8 @@
 use cactusnotch_derive::message;
 use derive_more::{Display, Error};
 
-/// The status and media type of an answer. It travels as the answer's first
-/// piece, so that it is replayed with the rest.
+/// The status and media type of an answer. It is sent as the answer's first
+/// piece, so a replay includes it.
 #[message]
 #[derive(Eq)]
 pub struct Head {
@@ -15,7 +15,7 @@
     pub content_type: String,
 }
 
-/// The first piece of an answer is no head.
+/// The first piece of an answer cannot be decoded as a head.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display, Error)]
 #[display("first piece of an answer: it is no head")]
 pub struct Error;
@@ -25,7 +25,7 @@
     ///
     /// # Panics
     ///
-    /// Never, since a head is always encodable and memory takes it.
+    /// Never: a head is always encodable, and writes to memory do not fail.
     #[must_use]
     pub fn encode(&self) -> Bytes {
         let mut piece = Vec::new();
@@ -33,11 +33,11 @@
         Bytes::from(piece)
     }
 
-    /// Reads the head from an answer's first piece.
+    /// Decodes the head from an answer's first piece.
     ///
     /// # Errors
     ///
-    /// Fails if the piece carries something else.
+    /// Fails if the piece is not an encoded head.
     pub fn decode(piece: &[u8]) -> Result<Self, Error> {
         ciborium::from_reader(piece).map_err(|_| Error)
     }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,7 +1,7 @@
 //! Messages between the processes of cactusnotch.
 //!
-//! A link carries [`Body`] values. The decisions define most of the messages;
-//! this crate adds what the drivers need around them.
+//! A link carries [`Body`] values. The crates of the decisions define most of the
+//! messages; this crate adds the messages and envelopes that their drivers need.
 #![deny(missing_docs)]
 #![forbid(unsafe_code)]
 
