--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -15,5 +15,5 @@
 mod throttle;
 
 pub use options::Options;
-pub use rank::Rank;
+pub use rank::Profile;
 pub use server::Server;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bpaf::Bpaf;
-use cactusnotch_agent::{Options, Rank, Server};
+use cactusnotch_agent::{Options, Profile, Server};
 use cactusnotch_base::clock::System;
 use cactusnotch_base::name::{Endpoint, Process};
 use cactusnotch_base::{Clock, Table};
@@ -208,7 +208,7 @@
         engine: settings.engine.as_str().to_owned(),
         slots: settings.slots,
         ledger: cactusnotch_ledger::Options::default(),
-        rank: settings.rank.map(|engine| Rank {
+        rank: settings.rank.map(|engine| Profile {
             engine: engine.as_str().to_owned(),
             store_rate: settings.store_rate,
             expert_bytes: settings.expert_bytes,
--- a/crates/agent/src/options.rs
+++ b/crates/agent/src/options.rs
@@ -7,7 +7,7 @@
 use cactusnotch_ledger as ledger;
 use cactusnotch_node as node;
 
-use crate::Rank;
+use crate::Profile;
 
 /// Configuration of an agent.
 #[derive(Debug, Clone)]
@@ -29,8 +29,8 @@
     pub slots: u32,
     /// The limits of the ledger.
     pub ledger: ledger::Options,
-    /// The settings of the rank, if the endpoint is a rank of a group.
-    pub rank: Option<Rank>,
+    /// The profile of the rank, if the endpoint is a rank of a group.
+    pub rank: Option<Profile>,
     /// The interval at which the agent announces its endpoint's state to entries.
     pub announce_interval: Duration,
 }
--- a/crates/agent/src/rank.rs
+++ b/crates/agent/src/rank.rs
@@ -11,7 +11,7 @@
 use cactusnotch_placement::{self as placement, Budget, Weights};
 use cactusnotch_popularity::Shape;
 use cactusnotch_settings::resolved;
-use cactusnotch_switch as switch;
+use cactusnotch_switch::{self as switch, Rank};
 use cactusnotch_wire::Body;
 use cactusnotch_wire::group::Message;
 use derive_more::Debug;
@@ -34,9 +34,9 @@
 /// [`BURST_TIME`].
 const RATIO_MAX: f64 = 25.0;
 
-/// The settings of a rank that the settings tree does not hold.
+/// The profile of a rank: its settings beside those of the settings tree.
 #[derive(Debug, Clone)]
-pub struct Rank {
+pub struct Profile {
     /// The base address of the rank's engine.
     pub engine: String,
     /// The rate of the weight store that all groups share, in bytes a second.
@@ -103,7 +103,7 @@
 /// a rank of, and restarts it when the declaration changes.
 pub(crate) async fn follow<C: Clock>(
     options: crate::Options,
-    settings: Rank,
+    profile: Profile,
     node: Arc<Node<C>>,
     participant: Arc<Participant>,
     clock: C,
@@ -116,7 +116,7 @@
         if found.is_some() && found != declared {
             declared = found;
             if let Some((name, rank, group)) = &declared {
-                let options = rank_options(&options, &settings, name, *rank, group);
+                let options = rank_options(&options, &profile, name, *rank, group);
                 let peers = Peers {
                     node: Arc::clone(&node),
                 };
@@ -132,10 +132,7 @@
 
 /// Returns the group that lists the endpoint as one of its ranks. The rank's
 /// number is the endpoint's position in the list.
-fn declaration(
-    view: &View,
-    options: &crate::Options,
-) -> Option<(String, switch::Rank, resolved::Group)> {
+fn declaration(view: &View, options: &crate::Options) -> Option<(String, Rank, resolved::Group)> {
     let name = options.endpoint.as_str();
     view.settings.groups().iter().find_map(|(group, values)| {
         let at = values
@@ -143,16 +140,15 @@
             .iter()
             .position(|endpoint| endpoint == name)?;
         let rank = u16::try_from(at).ok().filter(|_| values.layers > 0)?;
-        (u64::from(rank) < values.ranks)
-            .then(|| (group.clone(), switch::Rank(rank), values.clone()))
+        (u64::from(rank) < values.ranks).then(|| (group.clone(), Rank(rank), values.clone()))
     })
 }
 
 fn rank_options(
     options: &crate::Options,
-    settings: &Rank,
+    profile: &Profile,
     name: &str,
-    rank: switch::Rank,
+    rank: Rank,
     group: &resolved::Group,
 ) -> Options {
     let size = u16::try_from(group.ranks).unwrap_or(u16::MAX);
@@ -163,7 +159,7 @@
     let slots = usize::from(shape.experts.div_ceil(size.max(1))) + SPARE_SLOTS;
     let identity = &options.node.link.identity;
     let planner = placement::Options {
-        bytes: settings.expert_bytes,
+        bytes: profile.expert_bytes,
         ..placement::Options::new(shape, size, slots)
     };
     Options {
@@ -173,7 +169,7 @@
         shape,
         process: identity.process.clone(),
         incarnation: identity.incarnation,
-        engine: settings.engine.clone(),
+        engine: profile.engine.clone(),
         platform: options.node.platform.clone(),
         switch: switch::Options {
             orders: cactusnotch_order::Options {
@@ -190,11 +186,11 @@
             planner,
             weights: weights(group),
             budget: Budget {
-                rate: scale(settings.store_rate, group.weight_store_share),
-                interval: settings.plan_interval,
+                rate: scale(profile.store_rate, group.weight_store_share),
+                interval: profile.plan_interval,
             },
         },
-        report_interval: settings.report_interval,
+        report_interval: profile.report_interval,
     }
 }
 
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -81,10 +81,10 @@
             tokio::spawn(accept(listener, Arc::clone(&shared))),
             tokio::spawn(tick(options.announce_interval, Arc::clone(&shared))),
         ];
-        if let Some(settings) = options.rank.clone() {
+        if let Some(profile) = options.rank.clone() {
             tasks.push(tokio::spawn(rank::follow(
                 options,
-                settings,
+                profile,
                 node,
                 participant,
                 clock,
--- a/crates/entry/src/admission.rs
+++ b/crates/entry/src/admission.rs
@@ -1,5 +1,4 @@
-//! Admission control: queues requests per service and admits them under the
-//! organisations' caps.
+//! Admission control: queues requests and admits them under organisations' caps.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
@@ -32,8 +31,8 @@
 /// The interval at which queues are polled in the absence of other events.
 const TICK: Duration = Duration::from_millis(50);
 
-/// Identifies a queued request by its service and its ticket there.
-type Key = (Service, Ticket);
+/// The position of a queued request: its service and its ticket there.
+type Position = (Service, Ticket);
 
 /// Receives the admission decision on a request.
 type Answers<C> = oneshot::Receiver<Result<Permit<C>, Refusal>>;
@@ -44,9 +43,8 @@
     gates: Table<Service, Gate>,
     usage: Usage,
     quota: Exchange,
-    waiting: Table<Key, Waiter<C>>,
-    /// The organisations with demand, and the demand last reported to the
-    /// quota exchange.
+    waiting: Table<Position, Waiter<C>>,
+    /// The demand of each organisation as last reported to the quota exchange.
     reported: Table<Organisation, u32>,
     revision: Revision,
     revisions: Receiver<Arc<View>>,
@@ -83,7 +81,7 @@
 /// A queued request; removed from the queue on drop.
 struct Queued<'a, C: Clock> {
     shared: &'a Arc<Shared<C>>,
-    key: Key,
+    position: Position,
     organisation: &'a Organisation,
 }
 
@@ -132,11 +130,11 @@
     name: &Organisation,
     values: &resolved::Organisation,
 ) -> Result<Permit<C>, Problem> {
-    let (receiver, key) =
+    let (receiver, position) =
         enqueue(shared, service, name, values).map_err(|refusal| refused(&refusal))?;
     let queued = Queued {
         shared,
-        key,
+        position,
         organisation: name,
     };
     poll(shared, service);
@@ -154,7 +152,7 @@
     service: &Service,
     name: &Organisation,
     values: &resolved::Organisation,
-) -> Result<(Answers<C>, Key), Refusal> {
+) -> Result<(Answers<C>, Position), Refusal> {
     let now = shared.clock.now();
     let (headroom, run) = {
         let router = shared.router();
@@ -182,17 +180,17 @@
     });
     let ticket = gate.enqueue(&request, headroom, &mut commands, now, &mut rand::rng())?;
     let (sender, receiver) = oneshot::channel();
-    let key = (service.clone(), ticket);
+    let position = (service.clone(), ticket);
     let organisation = name.clone();
     let waiter = Waiter {
         organisation,
         sender,
     };
-    inner.waiting.insert(key.clone(), waiter);
+    inner.waiting.insert(position.clone(), waiter);
     let answers = inner.answers(service, commands);
     drop(inner);
     deliver(shared, service, answers);
-    Ok((receiver, key))
+    Ok((receiver, position))
 }
 
 /// Admits queued requests of a service up to its headroom and refuses those
@@ -392,8 +390,8 @@
 impl<C: Clock> Drop for Queued<'_, C> {
     fn drop(&mut self) {
         let mut inner = self.shared.admission.lock();
-        let answered = inner.waiting.remove(&self.key).is_none();
-        let (service, ticket) = &self.key;
+        let answered = inner.waiting.remove(&self.position).is_none();
+        let (service, ticket) = &self.position;
         if !answered && let Some(gate) = inner.gates.get_mut(service) {
             gate.cancel(self.organisation, *ticket);
         }
--- a/crates/entry/src/claims.rs
+++ b/crates/entry/src/claims.rs
@@ -88,7 +88,7 @@
             .min()
     }
 
-    fn complete_forwarded(&self, attempt: Attempt, answer: Answer) {
+    fn complete(&self, attempt: Attempt, answer: Answer) {
         let sender = lock(&self.forwarded).remove(&attempt);
         if let Some(sender) = sender {
             // The request may have ended in the meantime.
@@ -123,9 +123,7 @@
             let index = owner::shard(&claim.identity, SHARDS);
             submit(shared, index, claim, Waiter::Peer(from.clone()));
         }
-        claim::Message::Answer { attempt, answer } => {
-            shared.claims.complete_forwarded(attempt, answer)
-        }
+        claim::Message::Answer { attempt, answer } => shared.claims.complete(attempt, answer),
     }
 }
 
--- a/crates/entry/src/completion.rs
+++ b/crates/entry/src/completion.rs
@@ -46,7 +46,7 @@
 
 /// The part of a completion request that routing reads.
 #[derive(Debug, Deserialize)]
-struct Target {
+struct Completion {
     model: String,
 }
 
@@ -58,9 +58,9 @@
     let headers = Headers::read(request.headers())?;
     let (method, path) = target(&request);
     let payload = receive(shared, request).await?;
-    let target: Target = serde_json::from_slice(&payload)
+    let completion: Completion = serde_json::from_slice(&payload)
         .map_err(|error| Problem::malformed(format!("body: {error}")))?;
-    let service = Service::Model(Model::new(target.model));
+    let service = Service::Model(Model::new(completion.model));
     start(shared, service, headers, method, path, payload).await
 }
 
@@ -195,10 +195,10 @@
         Bare::Refuse
     };
     let wall = shared.clock.wall();
-    let claim = &shared.options.claim;
+    let defaults = &shared.options.claim;
     let options = claim::Options {
-        lifetime: organisation.key_lifetime.min(claim.lifetime),
-        ..claim.clone()
+        lifetime: organisation.key_lifetime.min(defaults.lifetime),
+        ..defaults.clone()
     };
     match kind::way(
         key,
--- a/crates/lab/examples/quickstart.rs
+++ b/crates/lab/examples/quickstart.rs
@@ -6,7 +6,7 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use cactusnotch_agent::Rank;
+use cactusnotch_agent::Profile;
 use cactusnotch_base::clock;
 use cactusnotch_entry::Server;
 use cactusnotch_lab::caller::{Ask, Outcome, key};
@@ -71,7 +71,7 @@
         ..Options::default()
     };
     let mut cluster = Cluster::start(&options).await?;
-    let rank = Rank {
+    let profile = Profile {
         engine: String::new(),
         store_rate: 1_000_000_000,
         expert_bytes: 10_000_000,
@@ -79,7 +79,7 @@
         report_interval: Duration::from_millis(500),
     };
     cluster
-        .add_group(&ranks::Options::new(RANKS, SHAPE), &rank)
+        .add_group(&ranks::Options::new(RANKS, SHAPE), &profile)
         .await?;
     if let Some(group) = &cluster.group {
         let cell = Cell {
--- a/crates/lab/src/cluster.rs
+++ b/crates/lab/src/cluster.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use cactusnotch_agent::{self as agent, Rank};
+use cactusnotch_agent::{self as agent, Profile};
 use cactusnotch_base::Table;
 use cactusnotch_base::clock::System;
 use cactusnotch_base::name::{DataCentre, Endpoint, Host, Process, Region};
@@ -158,7 +158,7 @@
     pub async fn add_group(
         &mut self,
         options: &ranks::Options,
-        template: &Rank,
+        template: &Profile,
     ) -> Result<(), Failure> {
         let group = ranks::Group::start(options)
             .map_err(|error| Failure::new("start of a group of ranks", error))?;
@@ -166,7 +166,7 @@
             let engine = format!("http://{address}");
             let options = agent::Options {
                 endpoint: rank_endpoint(rank),
-                rank: Some(Rank {
+                rank: Some(Profile {
                     engine: engine.clone(),
                     ..template.clone()
                 }),
--- a/crates/lab/tests/ranks.rs
+++ b/crates/lab/tests/ranks.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use cactusnotch_agent::Rank;
+use cactusnotch_agent::Profile;
 use cactusnotch_lab::Operator;
 use cactusnotch_lab::cluster::{Cluster, Options};
 use cactusnotch_popularity::{Cell, Shape};
@@ -16,8 +16,8 @@
 };
 const PATIENCE: Duration = Duration::from_mins(1);
 
-fn rank() -> Rank {
-    Rank {
+fn profile() -> Profile {
+    Profile {
         engine: String::new(),
         store_rate: 1_000_000_000,
         expert_bytes: 1_000_000,
@@ -35,7 +35,7 @@
     };
     let mut cluster = Cluster::start(&options).await.unwrap();
     cluster
-        .add_group(&ranks::Options::new(RANKS, SHAPE), &rank())
+        .add_group(&ranks::Options::new(RANKS, SHAPE), &profile())
         .await
         .unwrap();
     let platform = cluster.platform_options();
