--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -110,7 +110,7 @@
         display_fallback
     )]
     expert_bytes: u64,
-    /// The time between plans of a group's expert map
+    /// Time between plans of a group's expert map
     #[bpaf(
         long("plan-interval"),
         env("CACTUSNOTCH_PLAN_INTERVAL"),
