--- a/crates/entry/src/operator.rs
+++ b/crates/entry/src/operator.rs
@@ -1,4 +1,4 @@
-//! What operators ask over HTTP.
+//! The HTTP interface for operators.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,9 +7,9 @@
 use rouille::{Request, Response};
 
 use crate::shared::Shared;
-use crate::status::{Lagging, Seen, Status};
+use crate::status::{Lagging, Observation, Status};
 
-/// Answers one call of an operator.
+/// Answers one request of an operator.
 pub(crate) fn answer<C: Clock>(shared: &Arc<Shared<C>>, request: &Request) -> Response {
     match (request.method(), request.url().as_str()) {
         ("GET", "/status") => Response::json(&status(shared)),
@@ -36,12 +36,12 @@
     }
 }
 
-fn endpoints<C: Clock>(shared: &Shared<C>) -> Vec<Seen> {
-    let heard = shared.agents.heard(shared.clock.now());
+fn endpoints<C: Clock>(shared: &Shared<C>) -> Vec<Observation> {
+    let last_seen = shared.agents.last_seen(shared.clock.now());
     let router = shared.router();
-    heard
+    last_seen
         .into_iter()
-        .map(|(endpoint, ago)| Seen {
+        .map(|(endpoint, ago)| Observation {
             state: router.state(&endpoint).unwrap_or_default().to_string(),
             requests: router.own_load(&endpoint).requests,
             heard_ms: ago.map(milliseconds),
