--- a/crates/admit/src/quota/account.rs
+++ b/crates/admit/src/quota/account.rs
@@ -50,8 +50,8 @@
     /// before. The lent quota is counted before the grant is returned.
     ///
     /// A grant never lowers what a borrower holds, since the grant could be
-    /// lost. If the allotment has shrunk below the lent quota, that is not
-    /// renewed.
+    /// lost. If the allotment has shrunk below the lent quota, the lent
+    /// quota is not renewed.
     pub(crate) fn handle_ask(
         &mut self,
         borrower: &(Process, Incarnation),
--- a/crates/gateway/src/channel.rs
+++ b/crates/gateway/src/channel.rs
@@ -71,9 +71,9 @@
     /// # Errors
     ///
     /// Returns [`Error::Connect`].
-    pub async fn open(peer: SocketAddr, limit: Duration) -> Result<Self, Error> {
+    pub async fn open(peer: SocketAddr, timeout: Duration) -> Result<Self, Error> {
         let failed = |error| Error::Connect { peer, error };
-        let stream = tcp::connect(peer, limit).await.map_err(failed)?;
+        let stream = tcp::connect(peer, timeout).await.map_err(failed)?;
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_BUFFER)
             .handshake(TokioIo::new(stream))
@@ -156,7 +156,7 @@
     }
 
     /// Sends a request and reads the whole response, of at most `max_bytes`,
-    /// within `limit`.
+    /// within `timeout`.
     ///
     /// # Errors
     ///
@@ -166,7 +166,7 @@
         &mut self,
         request: Request<Full<Bytes>>,
         max_bytes: usize,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, Error> {
         let peer = self.peer;
         let exchange = async {
@@ -175,7 +175,7 @@
             let body = body.map_err(|_| Error::Body { peer })?.to_bytes();
             Ok(Response::from_parts(head, body))
         };
-        match tokio::time::timeout(limit, exchange).await {
+        match tokio::time::timeout(timeout, exchange).await {
             Ok(result) => result,
             Err(_) => Err(Error::Timeout { peer }),
         }
--- a/crates/gateway/src/configuration.rs
+++ b/crates/gateway/src/configuration.rs
@@ -99,9 +99,9 @@
     pub limits: Limits,
     routes: Vec<Route>,
     services: Vec<Service>,
-    /// The longest pause between events that callers of each service accept, in the order of
+    /// The longest gap between events that callers of each service accept, in the order of
     /// `services`.
-    pauses: Vec<Option<Duration>>,
+    max_event_gaps: Vec<Option<Duration>>,
     organisations: Vec<Organisation>,
     /// API keys with the index of their organisation, sorted by key.
     keys: Vec<(String, usize)>,
@@ -136,16 +136,16 @@
         } = parts;
         routes.sort_by(|a, b| (&a.host, &a.prefix).cmp(&(&b.host, &b.prefix)));
         services.sort_by(|a, b| a.name.cmp(&b.name));
-        let pauses = services
+        let max_event_gaps = services
             .iter()
-            .map(|service| shortest_pause(&routes, &service.name))
+            .map(|service| min_event_gap(&routes, &service.name))
             .collect();
         let requires_keys = organisations.is_some();
-        let mut names = Vec::new();
+        let mut owners = Vec::new();
         let mut keys = Vec::new();
-        for (organisation, own) in organisations.unwrap_or_default() {
-            keys.extend(own.into_iter().map(|key| (key, names.len())));
-            names.push(organisation);
+        for (organisation, own_keys) in organisations.unwrap_or_default() {
+            keys.extend(own_keys.into_iter().map(|key| (key, owners.len())));
+            owners.push(organisation);
         }
         keys.sort();
         Self {
@@ -153,8 +153,8 @@
             limits,
             routes,
             services,
-            pauses,
-            organisations: names,
+            max_event_gaps,
+            organisations: owners,
             keys,
             requires_keys,
         }
@@ -213,11 +213,11 @@
         &self.services
     }
 
-    /// Returns the longest pause between events that all callers of a service accept, `None`
+    /// Returns the longest gap between events that all callers of a service accept, `None`
     /// if no route states one.
     #[must_use]
-    pub fn pause(&self, service: &str) -> Option<Duration> {
-        self.pauses[self.position(service)?]
+    pub fn max_event_gap(&self, service: &str) -> Option<Duration> {
+        self.max_event_gaps[self.position(service)?]
     }
 
     fn position(&self, service: &str) -> Option<usize> {
@@ -243,12 +243,12 @@
     }
 }
 
-/// Returns the minimum over the longest accepted pauses of all routes to a service.
-fn shortest_pause(routes: &[Route], service: &str) -> Option<Duration> {
-    let leads = |route: &&Route| route.backends.iter().any(|b| b.service == service);
+/// Returns the minimum over the longest accepted gaps of all routes to a service.
+fn min_event_gap(routes: &[Route], service: &str) -> Option<Duration> {
+    let leads_to_service = |route: &&Route| route.backends.iter().any(|b| b.service == service);
     routes
         .iter()
-        .filter(leads)
+        .filter(leads_to_service)
         .filter_map(|route| route.max_event_gap)
         .min()
 }
--- a/crates/gateway/src/exchange.rs
+++ b/crates/gateway/src/exchange.rs
@@ -119,7 +119,7 @@
     now: Instant,
 ) -> bool {
     let service = &call.resolved.service;
-    if !shared.budgets.borrow_mut().can_retry(service, now) {
+    if !shared.retry_budgets.borrow_mut().can_retry(service, now) {
         return false;
     }
     let chosen = choose(shared, call, tried, now);
@@ -228,7 +228,7 @@
                 "the entry's connections to the endpoint are all in use",
             ),
             pool::Error::Connect(error) => {
-                running.failed();
+                running.record_failure();
                 Failed::new(Failure::Unsent, &error.to_string())
             }
         })
@@ -247,13 +247,13 @@
     let sent = running.sent;
     running
         .shared
-        .apply_statement(endpoint, &info, sent, clock::now());
+        .apply_headers(endpoint, &info, sent, clock::now());
     if info.refused && !info.foreign {
         let cause = match info.statement.backoff {
-            Header::Value(rest) => format!(
+            Header::Value(backoff) => format!(
                 "the endpoint refused with {} and asks for {} ms of rest",
                 head.status,
-                millis(rest)
+                millis(backoff)
             ),
             Header::Absent | Header::Invalid => {
                 format!("the endpoint refused with {}", head.status)
@@ -271,11 +271,11 @@
         None
     };
     if let Some(cause) = fault {
-        running.failed();
+        running.record_failure();
         return Err(Failed::new(Failure::Uncertain, cause));
     }
     if is_retryable(head.status, call.resolved.route.retry_policy) {
-        running.failed();
+        running.record_failure();
     }
     let keep_alive = keep_alive(&head);
     Ok(Reply {
@@ -314,7 +314,7 @@
 
     /// Creates the failure of a run whose connection broke: the request may have run.
     pub(crate) fn broken(running: &mut Running, cause: &str) -> Self {
-        running.failed();
+        running.record_failure();
         Self {
             broken_run: running.broken_run(clock::now()),
             ..Self::new(Failure::Uncertain, cause)
--- a/crates/gateway/src/fleet.rs
+++ b/crates/gateway/src/fleet.rs
@@ -259,12 +259,13 @@
         }
     }
 
-    /// Applies the load report of an endpoint's agent. `pause` returns the longest pause
-    /// that streams of a service accept; `entries` is the number of entries.
+    /// Applies the load report of an endpoint's agent. `max_event_gap` returns the longest
+    /// gap between events that callers of a service accept; `entries` is the number of
+    /// entries.
     pub(crate) fn apply_load(
         &mut self,
         load: &Load,
-        pause: impl FnOnce(&str) -> Option<Duration>,
+        max_event_gap: impl FnOnce(&str) -> Option<Duration>,
         entries: u32,
         now: Instant,
     ) -> Option<LoadContext> {
@@ -280,10 +281,10 @@
         row.apply_load(load, now);
         let service = row.endpoint.service.clone();
         let slots = row.endpoint.slots;
-        let late = row.is_late(pause(&service), now);
+        let avoided = row.should_be_avoided(max_event_gap(&service), now);
         let name = name::Endpoint::new(row.endpoint.id.clone());
         if let Some(router) = self.routers.get_mut(&service) {
-            router.avoid(&name, late.then(|| now + REPORT_TIME));
+            router.avoid(&name, avoided.then(|| now + REPORT_TIME));
         }
         Some(LoadContext {
             slots,
--- a/crates/gateway/src/fleet/exclusion.rs
+++ b/crates/gateway/src/fleet/exclusion.rs
@@ -62,17 +62,17 @@
 
     /// Returns why an endpoint currently gets no requests, `None` if it does get them.
     fn exclusion(&self, endpoint: &Endpoint, now: Instant) -> Option<Exclusion> {
-        let holds = |withheld: Option<Withheld>| withheld.is_some_and(|w| w.is_active(now));
+        let is_active = |withheld: Option<Withheld>| withheld.is_some_and(|w| w.is_active(now));
         let instance = endpoint.instance.as_str();
         if self.is_evacuated(endpoint) {
             Some(Exclusion::Evacuated)
         } else if !self.takes_work(&endpoint.id) {
             Some(Exclusion::Leaving)
-        } else if holds(self.backoffs.withheld(instance)) {
+        } else if is_active(self.backoffs.withheld(instance)) {
             Some(Exclusion::BackingOff)
-        } else if holds(self.limits.withheld(instance)) {
+        } else if is_active(self.limits.withheld(instance)) {
             Some(Exclusion::Limited)
-        } else if holds(self.warmups.withheld(instance)) {
+        } else if is_active(self.warmups.withheld(instance)) {
             Some(Exclusion::WarmingUp)
         } else {
             None
--- a/crates/gateway/src/fleet/row.rs
+++ b/crates/gateway/src/fleet/row.rs
@@ -29,7 +29,7 @@
     /// The duration of its group's passes, with the time of the report.
     pass: Option<(Duration, Instant)>,
     /// Its slowdown, as reported with the pass duration.
-    pace: Slowdown,
+    slowdown: Slowdown,
     /// Whether its group accepts requests, as reported with the pass duration.
     open: bool,
     /// Until when the first report of its agent is awaited, `None` once one was received.
@@ -51,7 +51,7 @@
             endpoint,
             used,
             pass: None,
-            pace: Slowdown::default(),
+            slowdown: Slowdown::default(),
             open: true,
             agent_awaited_until: ranked.then(|| now + AGENT_WAIT_TIME),
             earlier_start: None,
@@ -80,12 +80,12 @@
         if self.open != load.open {
             tracing::info!(endpoint, open = load.open, "group has opened or broken");
         }
-        if self.pace != load.pace {
-            let (before, pace) = (self.pace.factor(), load.pace.factor());
+        if self.slowdown != load.pace {
+            let (before, pace) = (self.slowdown.factor(), load.pace.factor());
             tracing::info!(endpoint, before, pace, "endpoint has another pace");
         }
         self.pass = Some((Duration::from_millis(load.pass.into()), now));
-        self.pace = load.pace;
+        self.slowdown = load.pace;
         self.open = load.open;
         self.agent_awaited_until = None;
     }
@@ -97,22 +97,22 @@
     }
 
     /// Returns whether it should get no requests while others have room: it is slow, or its
-    /// passes are longer than the longest pause that its streams accept.
-    pub(crate) fn is_late(&self, pause: Option<Duration>, now: Instant) -> bool {
-        let pass = self.pass(now).zip(pause);
-        self.pace.is_slow() || pass.is_some_and(|(pass, pause)| pass > pause)
+    /// passes are longer than the longest event gap that its streams accept.
+    pub(crate) fn should_be_avoided(&self, max_event_gap: Option<Duration>, now: Instant) -> bool {
+        let pass = self.pass(now).zip(max_event_gap);
+        self.slowdown.is_slow() || pass.is_some_and(|(pass, gap)| pass > gap)
     }
 
     /// Returns whether it is so slow that its streams should move elsewhere.
     pub(crate) fn straggles(&self, now: Instant) -> bool {
-        self.pace.is_straggler() && self.pass(now).is_some()
+        self.slowdown.is_straggler() && self.pass(now).is_some()
     }
 
     /// Returns whether it is known to be out of service: its group is broken, or its agent
     /// has reported before and is now unresponsive.
     pub(crate) fn is_lost(&self, now: Instant) -> bool {
-        let silent = |at| now.saturating_duration_since(at) > UNRESPONSIVE_TIME;
-        !self.open || self.pass.is_some_and(|(_, at)| silent(at))
+        let is_overdue = |at| now.saturating_duration_since(at) > UNRESPONSIVE_TIME;
+        !self.open || self.pass.is_some_and(|(_, at)| is_overdue(at))
     }
 
     /// Returns whether this entry sends requests there.
--- a/crates/gateway/src/fleet/statements.rs
+++ b/crates/gateway/src/fleet/statements.rs
@@ -25,24 +25,22 @@
 impl Fleet {
     /// Applies the self-report in an endpoint's answer to a request that was sent at `sent`;
     /// `ran` states whether the endpoint ran the request.
-    pub(crate) fn apply_statement(
+    pub(crate) fn apply_headers(
         &mut self,
         endpoint: &Endpoint,
-        statement: &Headers,
+        headers: &Headers,
         ran: bool,
         sent: Instant,
         now: Instant,
     ) -> Update {
         let instance = endpoint.instance.as_str();
         let mut update = Update {
-            limit: self
-                .limits
-                .apply_headers(instance, statement, ran, sent, now),
-            leaves: statement.leaving && self.record_leaving(endpoint, now),
+            limit: self.limits.apply_headers(instance, headers, ran, sent, now),
+            leaves: headers.leaving && self.record_leaving(endpoint, now),
             ..Update::default()
         };
-        match statement.backoff {
-            Header::Value(rest) => update.backoff = self.backoffs.request(instance, rest, now),
+        match headers.backoff {
+            Header::Value(time) => update.backoff = self.backoffs.request(instance, time, now),
             Header::Absent => update.is_backoff_over = self.backoffs.record_answer(instance, sent),
             Header::Invalid => {}
         }
@@ -68,15 +66,15 @@
     /// Sets the hosts of all entries, among which rate limits are divided.
     pub(crate) fn set_entries(&mut self, entries: &[&str], now: Instant) {
         let limits = self.limits.set_entries(entries, now);
-        let cold = self.warmups.set_entries(entries, now);
-        if limits || cold {
+        let warmups = self.warmups.set_entries(entries, now);
+        if limits || warmups {
             self.refresh_all_withheld();
         }
     }
 
     /// Removes rate limits and back-offs that have not been reported for long, and ends the
     /// warm-up of endpoints whose time is over.
-    pub(crate) fn expire_statements(&mut self, now: Instant) {
+    pub(crate) fn expire_throttling(&mut self, now: Instant) {
         let limits = self.limits.expire(now);
         let backoffs = self.backoffs.expire(now);
         self.expire_cold_starts(now);
--- a/crates/gateway/src/flight.rs
+++ b/crates/gateway/src/flight.rs
@@ -67,7 +67,7 @@
     };
     let service = call.resolved.service.clone();
     shared
-        .budgets
+        .retry_budgets
         .borrow_mut()
         .record_request(&service, arrived);
     let lifecycle = Lifecycle::new(
@@ -88,7 +88,7 @@
         // A response that is ready takes precedence over the deadline.
         biased;
         outcome = flight.drive::<D>() => Some(outcome),
-        () = shared.wake.wait_until(deadline) => None,
+        () = shared.suspend_detector.wait_until(deadline) => None,
     };
     let outcome = outcome.unwrap_or_else(|| Err(flight.lifecycle.timed_out(flight.sending)));
     match outcome {
@@ -210,9 +210,9 @@
             self.failure = Some((reply.head, bytes));
             return Err(Failed::new(Failure::Refused, &cause));
         }
-        reply.running.piece(clock::now());
+        reply.running.record_piece(clock::now());
         if !status.is_server_error() {
-            reply.running.whole();
+            reply.running.record_complete();
             self.shared.note_served(&self.call);
         }
         reply.lease.put_back(reply.keep_alive, clock::now());
@@ -253,7 +253,7 @@
             .resolved
             .allowed_regions
             .as_ref()
-            .map(|homes| homes.join(","));
+            .map(|regions| regions.join(","));
         tracing::info!(id, service, %error, evacuated, homes, "no endpoint chosen");
         let exhausted = self.lifecycle.exhausted();
         let choice::Error::Withheld { first, .. } = *error else {
@@ -267,7 +267,7 @@
     }
 
     fn affordable(&self) -> bool {
-        let mut budgets = self.shared.budgets.borrow_mut();
+        let mut budgets = self.shared.retry_budgets.borrow_mut();
         budgets.try_spend(&self.call.resolved.service, clock::now())
     }
 
--- a/crates/gateway/src/gossip.rs
+++ b/crates/gateway/src/gossip.rs
@@ -116,9 +116,9 @@
 fn apply_load_report(shared: &SharedState, load: &peer::Load, now: Instant) {
     let entries = shared.peers.borrow().count();
     let configuration = shared.configuration();
-    let pause = |service: &str| configuration.as_ref()?.pause(service);
+    let max_event_gap = |service: &str| configuration.as_ref()?.max_event_gap(service);
     let mut fleet = shared.fleet.borrow_mut();
-    let context = fleet.apply_load(load, pause, entries, now);
+    let context = fleet.apply_load(load, max_event_gap, entries, now);
     let Some(LoadContext {
         slots,
         sharers,
@@ -204,7 +204,7 @@
 
 /// Forwards changes of endpoints to the entries of this data centre. An entry that misses
 /// them detects that it is behind the store and calls it.
-pub(crate) fn pass_on(shared: &SharedState, socket: &UdpSocket, changes: Changes) {
+pub(crate) fn forward_changes(shared: &SharedState, socket: &UdpSocket, changes: Changes) {
     if changes.endpoints.len() > CHANGES_MAX {
         return;
     }
--- a/crates/gateway/src/journal.rs
+++ b/crates/gateway/src/journal.rs
@@ -40,14 +40,14 @@
     /// Returns an error if the process already has a log or the writer thread
     /// can't be started.
     pub fn start(level: LevelFilter) -> io::Result<Self> {
-        let journal = Self::default();
-        let subscriber = cactusnotch_telemetry::log::json(level, journal.clone());
+        let log = Self::default();
+        let subscriber = cactusnotch_telemetry::log::json(level, log.clone());
         tracing::subscriber::set_global_default(subscriber).map_err(io::Error::other)?;
-        let writer = journal.clone();
+        let writer = log.clone();
         std::thread::Builder::new()
             .name("log".to_owned())
             .spawn(move || writer.run())?;
-        Ok(journal)
+        Ok(log)
     }
 
     /// Writes all buffered lines. Call this before the process exits.
--- a/crates/gateway/src/knowledge.rs
+++ b/crates/gateway/src/knowledge.rs
@@ -26,7 +26,6 @@
 use crate::fleet::Fleet;
 use crate::freshness::Freshness;
 use crate::lag::Lag;
-use crate::link::Link;
 use crate::memory::Memory;
 use crate::notifications::Notifications;
 use crate::options::Options;
@@ -39,6 +38,7 @@
 use crate::record::Records;
 use crate::reported::ReportedErrors;
 use crate::store::{Change, Codec, Item, Kind, Store, Unreadable};
+use crate::store_health::StoreHealth;
 use crate::time_budget::TimeBudgets;
 use crate::wake::SuspendDetector;
 
@@ -62,7 +62,7 @@
     pub(crate) configuration_cache: ConfigurationCache,
     pub(crate) pool: Pool,
     pub(crate) memory: Memory,
-    pub(crate) budgets: RefCell<RetryBudgets>,
+    pub(crate) retry_budgets: RefCell<RetryBudgets>,
     pub(crate) time_budgets: RefCell<TimeBudgets>,
     pub(crate) rng: RefCell<SmallRng>,
     pub(crate) in_flight: Cell<u32>,
@@ -72,7 +72,7 @@
     /// Whether endpoints and entries, respectively, have been listed.
     listed: Cell<(bool, bool)>,
     outage: Cell<Outage>,
-    pub(crate) link: RefCell<Link>,
+    pub(crate) store_health: RefCell<StoreHealth>,
     /// Notified when the store answers again.
     answered: Notify,
     /// Notified when this entry is missing from a listing of entries.
@@ -83,12 +83,12 @@
     unconfirmed_until: Cell<Option<Instant>>,
     /// Notified when an answer confirms nothing because the store's era may be unsettled.
     pub(crate) unsettled: Notify,
-    reported: RefCell<ReportedErrors>,
+    reported_errors: RefCell<ReportedErrors>,
     /// The requests during which endpoints have crashed.
     pub(crate) quarantine: RefCell<Quarantine>,
     pub(crate) notifications: Notifications,
     pub(crate) records: Records,
-    pub(crate) wake: SuspendDetector,
+    pub(crate) suspend_detector: SuspendDetector,
 }
 
 impl SharedState {
@@ -102,11 +102,14 @@
                 options.warm_up,
             )),
             peers: RefCell::new(Peers::new(&options.host, &options.data_centre)),
-            budgets: RefCell::new(RetryBudgets::new(options.retry_ratio, options.retry_window)),
+            retry_budgets: RefCell::new(RetryBudgets::new(
+                options.retry_ratio,
+                options.retry_window,
+            )),
             options: RefCell::new(Rc::new(options)),
             time_budgets: RefCell::default(),
-            reported: RefCell::default(),
-            link: RefCell::default(),
+            reported_errors: RefCell::default(),
+            store_health: RefCell::default(),
             answered: Notify::new(),
             unregistered: Notify::new(),
             applied_era: Cell::default(),
@@ -131,7 +134,7 @@
             quarantine: RefCell::default(),
             notifications: Notifications::default(),
             records: Records::default(),
-            wake: SuspendDetector::default(),
+            suspend_detector: SuspendDetector::default(),
         }
     }
 
@@ -144,7 +147,7 @@
         self.freshness
             .borrow_mut()
             .set_bound(options.revocation_bound);
-        self.budgets
+        self.retry_budgets
             .borrow_mut()
             .configure(options.retry_ratio, options.retry_window);
         let mut known = self.options.borrow_mut();
@@ -271,7 +274,11 @@
         error: &Unreadable,
         now: Instant,
     ) {
-        if self.reported.borrow_mut().is_new(name, &error.detail) {
+        if self
+            .reported_errors
+            .borrow_mut()
+            .is_new(name, &error.detail)
+        {
             metrics::counter!(metric::GATEWAY_UNREADABLE).increment(1);
             tracing::error!(%kind, name, %position, %error, "object not taken");
         }
@@ -375,10 +382,10 @@
         self.choose_subsets();
         let entries = self.peers.borrow().count();
         let known = self.listed.get().1;
-        self.maintain_statements(known, now);
+        self.maintain_throttling(known, now);
         let slack = self.options.borrow().retry_slack;
         let allowance = if known { slack / (2 * entries) } else { 0 };
-        self.budgets.borrow_mut().set_allowance(allowance);
+        self.retry_budgets.borrow_mut().set_allowance(allowance);
         let fleet = self.fleet.borrow();
         self.pool.sweep(now, |id| fleet.takes_work(id));
     }
--- a/crates/gateway/src/knowledge/confirmation.rs
+++ b/crates/gateway/src/knowledge/confirmation.rs
@@ -22,9 +22,9 @@
             .proof_age
             .filter(|_| same)
             .map(|age| Duration::from_millis(age.into()));
-        let proved = age.and_then(|age| self.polls.borrow().confirmed_at(state.round, age));
-        if let Some(proved) = proved {
-            self.freshness.borrow_mut().renew(proved);
+        let confirmed = age.and_then(|age| self.polls.borrow().confirmed_at(state.round, age));
+        if let Some(confirmed) = confirmed {
+            self.freshness.borrow_mut().renew(confirmed);
         }
     }
 
--- a/crates/gateway/src/knowledge/outage.rs
+++ b/crates/gateway/src/knowledge/outage.rs
@@ -7,9 +7,9 @@
 
 use super::{SharedState, WATCHERS};
 use crate::journal::millis;
-use crate::link::Role;
 use crate::peer::State;
 use crate::store::{Error, Kind};
+use crate::store_health::Role;
 
 impl SharedState {
     /// Returns the time since the end of the store's last outage, in milliseconds.
@@ -22,7 +22,7 @@
     pub(crate) async fn wait_for_store_slot(&self) {
         loop {
             let answered = self.answered.notified();
-            let Some(left) = self.link.borrow_mut().wait(clock::now()) else {
+            let Some(left) = self.store_health.borrow_mut().wait(clock::now()) else {
                 return;
             };
             tokio::select! {
@@ -41,7 +41,7 @@
             Role::Relies
         };
         let jitter = self.rng.borrow_mut().random();
-        if self.link.borrow_mut().fail(role, now, jitter) {
+        if self.store_health.borrow_mut().fail(role, now, jitter) {
             tracing::warn!(%kind, %error, ?role, heard_before = before, "store lost");
         }
     }
@@ -49,7 +49,7 @@
     /// Records an answer of the store.
     pub(crate) fn note_store_answer(&self, kind: Kind, now: Instant) {
         self.adapt_to_era(now);
-        let Some(lost) = self.link.borrow_mut().answer(now) else {
+        let Some(lost) = self.store_health.borrow_mut().answer(now) else {
             return;
         };
         tracing::info!(%kind, ms = millis(lost), "store regained");
@@ -65,7 +65,7 @@
         let Some(returned) = ago.and_then(|ago| now.checked_sub(ago)) else {
             return;
         };
-        if self.link.borrow_mut().note_return(returned) {
+        if self.store_health.borrow_mut().note_return(returned) {
             tracing::info!(
                 ms = ago.map(millis),
                 "store regained, as another entry says"
--- a/crates/gateway/src/knowledge/statements.rs
+++ b/crates/gateway/src/knowledge/statements.rs
@@ -24,7 +24,7 @@
 impl SharedState {
     /// Applies the self-report in an endpoint's answer to a request that was sent at `sent`,
     /// and notifies other entries of a changed rate limit.
-    pub(crate) fn apply_statement(
+    pub(crate) fn apply_headers(
         &self,
         endpoint: &Endpoint,
         info: &ResponseInfo,
@@ -35,7 +35,7 @@
         let ran = info.signed && !info.refused && !info.foreign;
         let sent = sent.unwrap_or(now);
         let mut fleet = self.fleet.borrow_mut();
-        let update = fleet.apply_statement(endpoint, &info.statement, ran, sent, now);
+        let update = fleet.apply_headers(endpoint, &info.statement, ran, sent, now);
         drop(fleet);
         log_update(endpoint, &update, &info.statement);
         let Some(change) = update.limit else {
@@ -118,9 +118,9 @@
 
     /// Removes expired limits, and divides limits among the entries if all of them have been
     /// listed.
-    pub(super) fn maintain_statements(&self, known: bool, now: Instant) {
+    pub(super) fn maintain_throttling(&self, known: bool, now: Instant) {
         let mut fleet = self.fleet.borrow_mut();
-        fleet.expire_statements(now);
+        fleet.expire_throttling(now);
         if known {
             fleet.set_entries(&self.peers.borrow().hosts(), now);
         }
@@ -146,11 +146,15 @@
     }
 
     /// Logs an unreadable value in a self-report, once per endpoint and value.
-    fn warn_unreadable(&self, endpoint: &Endpoint, statement: &Headers) {
-        let limit = (statement.limit == Header::Invalid).then_some("limit");
-        let rest = (statement.backoff == Header::Invalid).then_some("rest");
-        for what in limit.into_iter().chain(rest) {
-            if self.reported.borrow_mut().is_new(&endpoint.instance, what) {
+    fn warn_unreadable(&self, endpoint: &Endpoint, headers: &Headers) {
+        let limit = (headers.limit == Header::Invalid).then_some("limit");
+        let backoff = (headers.backoff == Header::Invalid).then_some("rest");
+        for what in limit.into_iter().chain(backoff) {
+            if self
+                .reported_errors
+                .borrow_mut()
+                .is_new(&endpoint.instance, what)
+            {
                 let endpoint = endpoint.id.as_str();
                 tracing::warn!(
                     endpoint,
@@ -171,16 +175,16 @@
 }
 
 /// Logs the changes of an endpoint's back-off and leaving state.
-fn log_update(endpoint: &Endpoint, update: &Update, statement: &Headers) {
+fn log_update(endpoint: &Endpoint, update: &Update, headers: &Headers) {
     let endpoint = endpoint.id.as_str();
-    if let Some(rest) = update.backoff {
-        let asked_ms = match statement.backoff {
-            Header::Value(asked) => Some(millis(asked)),
+    if let Some(backoff) = update.backoff {
+        let asked_ms = match headers.backoff {
+            Header::Value(requested) => Some(millis(requested)),
             Header::Absent | Header::Invalid => None,
         };
         tracing::info!(
             endpoint,
-            ms = millis(rest),
+            ms = millis(backoff),
             asked_ms,
             "endpoint asks for rest"
         );
--- a/crates/gateway/src/knowledge/suspects.rs
+++ b/crates/gateway/src/knowledge/suspects.rs
@@ -85,17 +85,17 @@
         }
         let left = self.quarantine.borrow().time_left(report.content, now);
         if let (Verdict::Held | Verdict::HeldBefore, Some(left)) = (verdict, left) {
-            let held = Notification::Held(report.content, now + left);
-            self.notifications.send_to(held, from);
+            let notification = Notification::Quarantined(report.content, now + left);
+            self.notifications.send_to(notification, from);
         }
     }
 
     /// Applies another entry's report that a request is quarantined, which crashed an
     /// endpoint here.
-    pub(crate) fn apply_quarantine_report(&self, held: &peer::Quarantined, now: Instant) {
-        let left = Duration::from_millis(held.left.into());
-        if self.apply_quarantine(held.content, left, "another entry holds it", now) {
-            self.write_record(held.content);
+    pub(crate) fn apply_quarantine_report(&self, report: &peer::Quarantined, now: Instant) {
+        let left = Duration::from_millis(report.left.into());
+        if self.apply_quarantine(report.content, left, "another entry holds it", now) {
+            self.write_record(report.content);
         }
     }
 
@@ -109,19 +109,19 @@
         let left = record.until.duration_since(clock::wall());
         let Ok(left) = left else {
             if self.peers.borrow().ready_before(now) == 0 {
-                self.records.push(Write::Erase(record.content));
+                self.records.push(Write::Erase(record.fingerprint));
             }
             return;
         };
         // The listing may be stale, or a copy from before the record was removed.
-        if self.quarantine.borrow().is_cleared(record.content, now) {
-            self.records.push(Write::Erase(record.content));
+        if self.quarantine.borrow().is_cleared(record.fingerprint, now) {
+            self.records.push(Write::Erase(record.fingerprint));
             return;
         }
-        self.apply_quarantine(record.content, left, "the store has it on record", now);
+        self.apply_quarantine(record.fingerprint, left, "the store has it on record", now);
         self.quarantine
             .borrow_mut()
-            .note_record(record.content, true);
+            .note_record(record.fingerprint, true);
     }
 
     /// Writes the records of quarantined requests that are missing from the store. The first
--- a/crates/gateway/src/notifications.rs
+++ b/crates/gateway/src/notifications.rs
@@ -32,7 +32,7 @@
     /// An endpoint crashed while it ran a request.
     Crash(Fingerprint, Crash),
     /// A request is quarantined until the given time.
-    Held(Fingerprint, Instant),
+    Quarantined(Fingerprint, Instant),
     /// A request was served completely.
     Served(Fingerprint),
     /// Endpoints have these rate limits.
@@ -49,7 +49,7 @@
                 sent_ago: millis(now.saturating_duration_since(crash.sent)),
                 ago: millis(now.saturating_duration_since(crash.at)),
             }),
-            Self::Held(fingerprint, until) => Datagram::Held(peer::Quarantined {
+            Self::Quarantined(fingerprint, until) => Datagram::Held(peer::Quarantined {
                 content: *fingerprint,
                 left: millis(until.saturating_duration_since(now)),
             }),
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -171,13 +171,13 @@
 
     /// Marks unresponsive entries as not ready; returns their hosts.
     pub fn expire(&mut self, now: Instant) -> Vec<String> {
-        let silent = |row: &Row| row.ready && !row.alive(now);
+        let is_unresponsive = |row: &Row| row.ready && !row.alive(now);
         let rows = self.rows.iter_mut().map(|(_, row)| row);
-        let silent = rows.filter(|row| silent(row)).map(|row| {
+        let unresponsive = rows.filter(|row| is_unresponsive(row)).map(|row| {
             row.ready = false;
             row.entry.host.clone()
         });
-        silent.collect()
+        unresponsive.collect()
     }
 
     /// Returns the addresses at which callers of `data_centre` should connect: `own` if
@@ -204,10 +204,10 @@
     ) -> Vec<SocketAddr> {
         let allowed = |row: &&Row| row.ready(now) && is_allowed(&row.entry.data_centre);
         let ready = || self.rows.values().filter(allowed);
-        let home = data_centre.is_none_or(|wanted| wanted == self.data_centre);
+        let is_own_data_centre = data_centre.is_none_or(|wanted| wanted == self.data_centre);
         let near = |row: &&Row| data_centre.is_none_or(|wanted| row.entry.data_centre == wanted);
         let mut list: Vec<_> = ready().filter(near).map(|row| row.entry.listen).collect();
-        if home || list.is_empty() {
+        if is_own_data_centre || list.is_empty() {
             list.extend(own);
         }
         if list.len() < LIST_MIN {
--- a/crates/gateway/src/pump.rs
+++ b/crates/gateway/src/pump.rs
@@ -124,11 +124,11 @@
                 biased;
                 () = self.sender.closed() => return PartEnd::End(End::CallerLeft),
                 frame = body.frame() => frame,
-                () = self.shared.wake.wait_until(deadline) => return PartEnd::End(End::TimeUp),
+                () = self.shared.suspend_detector.wait_until(deadline) => return PartEnd::End(End::TimeUp),
                 () = exchange::wait_until_lost(&self.shared, &self.call, &self.tried, running.endpoint()),
                     if events.is_some() && self.lifecycle.may_retry() =>
                 {
-                    running.failed();
+                    running.record_failure();
                     metrics::counter!(metric::GATEWAY_MOVED).increment(1);
                     return PartEnd::broken("the endpoint is lost");
                 }
@@ -140,7 +140,7 @@
                 }
                 Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
             };
-            running.piece(clock::now());
+            running.record_piece(clock::now());
             let data = match events.as_deref_mut() {
                 Some(events) => events.push(&data),
                 None => data,
@@ -154,10 +154,10 @@
             }
         }
         if events.is_some_and(|events| events.is_partial()) {
-            running.failed();
+            running.record_failure();
             return PartEnd::broken("the stream ended within an event");
         }
-        running.whole();
+        running.record_complete();
         self.shared.note_served(&self.call);
         lease.put_back(keep_alive, clock::now());
         PartEnd::End(End::Whole)
@@ -193,7 +193,12 @@
             self.probe_crash(&mut failure).await;
             let now = clock::now();
             let service = self.call.resolved.service.clone();
-            let affordable = || self.shared.budgets.borrow_mut().try_spend(&service, now);
+            let affordable = || {
+                self.shared
+                    .retry_budgets
+                    .borrow_mut()
+                    .try_spend(&service, now)
+            };
             let next = self.lifecycle.after_failure(failure.failure, affordable);
             let id = self.call.head.id.as_deref();
             tracing::info!(id, content = %self.call.fingerprint(), after = last, cause = failure.cause, next = ?next, "stream broken at its endpoint");
@@ -216,7 +221,7 @@
                 biased;
                 () = self.sender.closed() => return None,
                 sent = sending => sent,
-                () = self.shared.wake.wait_until(deadline) => return None,
+                () = self.shared.suspend_detector.wait_until(deadline) => return None,
             };
             match sent {
                 Ok(reply) if reply.head.status.is_success() => {
--- a/crates/gateway/src/record.rs
+++ b/crates/gateway/src/record.rs
@@ -109,10 +109,7 @@
     let until = clock::wall() + left;
     accept_already_done(
         store
-            .create_quarantine(&QuarantineRecord {
-                content: fingerprint,
-                until,
-            })
+            .create_quarantine(&QuarantineRecord { fingerprint, until })
             .await,
     )?;
     shared
--- a/crates/gateway/src/regions.rs
+++ b/crates/gateway/src/regions.rs
@@ -16,15 +16,16 @@
     #[must_use]
     pub fn any_contains<S: AsRef<str>>(&self, regions: &[S], data_centre: &str) -> bool {
         let region = self.by_data_centre.get(data_centre);
-        region.is_some_and(|region| regions.iter().any(|home| home.as_ref() == region))
+        region.is_some_and(|region| regions.iter().any(|allowed| allowed.as_ref() == region))
     }
 
     /// Returns the data centres in any of `regions`.
     #[must_use]
     pub fn data_centres<S: AsRef<str>>(&self, regions: &[S]) -> Vec<name::DataCentre> {
         let names = self.by_data_centre.keys();
-        let home = names.filter(|data_centre| self.any_contains(regions, data_centre));
-        home.map(|data_centre| name::DataCentre::new(data_centre.clone()))
+        let allowed = names.filter(|data_centre| self.any_contains(regions, data_centre));
+        allowed
+            .map(|data_centre| name::DataCentre::new(data_centre.clone()))
             .collect()
     }
 }
--- a/crates/gateway/src/renewal.rs
+++ b/crates/gateway/src/renewal.rs
@@ -18,12 +18,12 @@
     let mut store = shared.store::<C>();
     loop {
         tokio::time::sleep(CHECK_INTERVAL).await;
-        shared.wake.check();
+        shared.suspend_detector.check();
         let now = clock::now();
         if !shared.needs_confirmation(now) {
             continue;
         }
-        if shared.link.borrow_mut().wait(now).is_some() {
+        if shared.store_health.borrow_mut().wait(now).is_some() {
             continue;
         }
         match renew(&shared, &mut store).await {
--- a/crates/gateway/src/running.rs
+++ b/crates/gateway/src/running.rs
@@ -40,7 +40,7 @@
 
 impl Running {
     /// Records a piece of the response.
-    pub(crate) fn piece(&mut self, now: Instant) {
+    pub(crate) fn record_piece(&mut self, now: Instant) {
         self.pieces += 1;
         if self.pieces == 1 {
             self.first = self.sent.map(|sent| now.saturating_duration_since(sent));
@@ -52,14 +52,14 @@
     }
 
     /// Records that the response is complete.
-    pub(crate) const fn whole(&mut self) {
+    pub(crate) const fn record_complete(&mut self) {
         self.end = End::Answered {
             pieces: self.pieces,
         };
     }
 
     /// Records that the endpoint failed.
-    pub(crate) const fn failed(&mut self) {
+    pub(crate) const fn record_failure(&mut self) {
         self.end = End::Failed;
     }
 
--- a/crates/gateway/src/store.rs
+++ b/crates/gateway/src/store.rs
@@ -66,7 +66,7 @@
 #[derive(Copy)]
 pub struct QuarantineRecord {
     /// Fingerprint of the content that all attempts of the request have in common.
-    pub content: Fingerprint,
+    pub fingerprint: Fingerprint,
     /// The end of the quarantine, in wall-clock time: the record outlives any monotonic
     /// clock, and an error of seconds in an hour is harmless.
     pub until: SystemTime,
@@ -281,9 +281,9 @@
         &mut self,
         kind: Kind,
         call: Request<Bytes>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<WatchAnswer, Error> {
-        let (era, body) = self.call(call, limit).await?;
+        let (era, body) = self.call(call, timeout).await?;
         let answer = C::parse_watch(kind, era, &body).map_err(Error::Unreadable)?;
         Ok(WatchAnswer { answer, body })
     }
@@ -352,9 +352,9 @@
     async fn call(
         &mut self,
         request: Request<Bytes>,
-        limit: Duration,
+        timeout: Duration,
     ) -> Result<(Era, Bytes), Error> {
-        let answer = self.client.call(request, limit).await;
+        let answer = self.client.call(request, timeout).await;
         let answer = answer.map_err(Error::Channel)?;
         let era = C::era(answer.headers()).ok_or(Error::EraUnreadable)?;
         let (now, status) = (clock::now(), answer.status());
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/store_health.rs
@@ -43,14 +43,14 @@
 
 /// The health of an entry's path to the store.
 #[derive(Debug, Default)]
-pub struct Link {
+pub struct StoreHealth {
     lost: Option<Instant>,
     failures: u32,
     /// When the store may be called next while it is lost.
     next: Option<Instant>,
 }
 
-impl Link {
+impl StoreHealth {
     /// Returns how long to wait before the store may be called, or `None` if it may be
     /// called now. `None` reserves the call for this task: others have to wait for its
     /// result or its timeout.
--- a/crates/gateway/src/tcp.rs
+++ b/crates/gateway/src/tcp.rs
@@ -38,7 +38,7 @@
     socket.set_tcp_keepalive(&keepalive)
 }
 
-/// Opens a tuned connection to `peer` within `limit`. Closing it resets the connection,
+/// Opens a tuned connection to `peer` within `timeout`. Closing it resets the connection,
 /// which discards written data that has not arrived yet. A suspended host would
 /// otherwise read requests whose callers disconnected long ago, and carry out orders
 /// that were cancelled.
@@ -46,8 +46,8 @@
 /// # Errors
 ///
 /// Returns the error of the connection, or a timeout.
-pub async fn connect(peer: SocketAddr, limit: Duration) -> io::Result<TcpStream> {
-    let stream = tokio::time::timeout(limit, TcpStream::connect(peer)).await??;
+pub async fn connect(peer: SocketAddr, timeout: Duration) -> io::Result<TcpStream> {
+    let stream = tokio::time::timeout(timeout, TcpStream::connect(peer)).await??;
     tune(&stream)?;
     SockRef::from(&stream).set_linger(Some(Duration::ZERO))?;
     Ok(stream)
--- a/crates/gateway/src/watcher.rs
+++ b/crates/gateway/src/watcher.rs
@@ -95,7 +95,7 @@
             self.listed = false;
             return Ok(());
         }
-        if self.shared.link.borrow().is_lost() {
+        if self.shared.store_health.borrow().is_lost() {
             self.shared.wait_for_store_slot().await;
             return self.catch_up().await.map(drop);
         }
@@ -305,7 +305,7 @@
                 let changes_for_peers =
                     self.shared
                         .changes_for_peers(from, answer.position, endpoints, now);
-                gossip::pass_on(self.shared, self.socket, changes_for_peers);
+                gossip::forward_changes(self.shared, self.socket, changes_for_peers);
             }
             Kind::Configuration if changed => {
                 self.shared
--- a/crates/gateway/tests/absence.rs
+++ b/crates/gateway/tests/absence.rs
@@ -35,22 +35,22 @@
 #[test]
 fn an_endpoint_that_leaves_at_any_moment_is_not_used_beyond_its_bound() {
     let bound = Duration::from_secs(2);
-    let sound = clock::now();
+    let connected = clock::now();
     for late in (0..=DETECTION_DELAY_MAX.as_millis()).step_by(50) {
         let late = Duration::from_millis(u64::try_from(late).expect("small"));
-        let returned = sound + late;
+        let returned = connected + late;
         let mut outage = Outage::default();
         outage.end(returned);
         for left in (0..4_000).step_by(50) {
-            let left = sound + Duration::from_millis(left);
+            let left = connected + Duration::from_millis(left);
             // It is detected at once, or with the first response after the outage.
             let seen = left.max(returned);
             let used = outage.kept_until(seen).unwrap_or(seen);
-            let allowed = (left + bound).max(sound + LEAVING_BOUND);
+            let allowed = (left + bound).max(connected + LEAVING_BOUND);
             assert!(
                 used <= allowed,
                 "detected after {late:?}, left at {:?}",
-                left - sound
+                left - connected
             );
         }
     }
--- a/crates/gateway/tests/asleep.rs
+++ b/crates/gateway/tests/asleep.rs
@@ -42,9 +42,9 @@
 
 #[test]
 fn an_answer_to_a_question_from_before_proves_what_held_then() {
-    let (mut questions, mut freshness) = (Polls::default(), Freshness::new(Some(SUSPENDED)));
-    let round = suspend_after(|| questions.begin(clock::now()));
-    let confirmed = questions.confirmed_at(round, Duration::from_millis(20));
+    let (mut polls, mut freshness) = (Polls::default(), Freshness::new(Some(SUSPENDED)));
+    let round = suspend_after(|| polls.begin(clock::now()));
+    let confirmed = polls.confirmed_at(round, Duration::from_millis(20));
     freshness.renew(confirmed.expect("the round was started"));
     assert!(!freshness.holds(clock::now()));
 }
@@ -90,7 +90,7 @@
 
 #[test]
 fn a_hold_has_less_time_left() {
-    let content = Fingerprint::of(&Parts {
+    let fingerprint = Fingerprint::of(&Parts {
         organisation: None,
         method: &Method::GET,
         host: b"shop.example",
@@ -98,7 +98,7 @@
         body: b"",
     });
     let mut quarantine = Quarantine::default();
-    suspend_after(|| quarantine.add(content, QUARANTINE_TIME, clock::now()));
-    let left = quarantine.time_left(content, clock::now());
+    suspend_after(|| quarantine.add(fingerprint, QUARANTINE_TIME, clock::now()));
+    let left = quarantine.time_left(fingerprint, clock::now());
     assert!(left <= QUARANTINE_TIME.checked_sub(SUSPENDED));
 }
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -9,9 +9,9 @@
 use std::time::Duration;
 
 use cactusnotch_base::clock;
-use cactusnotch_gateway::link::{Link, Role};
 use cactusnotch_gateway::peer::Entry;
 use cactusnotch_gateway::peers::Peers;
+use cactusnotch_gateway::store_health::{Role, StoreHealth};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
@@ -26,19 +26,19 @@
 fn calls(entries: usize, data_centres: usize) -> f64 {
     let mut rng = SmallRng::seed_from_u64(7);
     let base = clock::now();
-    let mut links: Vec<_> = (0..entries).map(|_| Link::default()).collect();
+    let mut entry_health: Vec<_> = (0..entries).map(|_| StoreHealth::default()).collect();
     let mut calls = 0_u32;
     for step in 0..1_600 {
         let now = base + STEP * step;
-        for (at, link) in links.iter_mut().enumerate() {
+        for (at, health) in entry_health.iter_mut().enumerate() {
             let role = if at / data_centres < CALLING {
                 Role::Asks
             } else {
                 Role::Relies
             };
             for _ in 0..TASKS {
-                if link.wait(now).is_none() {
-                    link.fail(role, now, rng.random());
+                if health.wait(now).is_none() {
+                    health.fail(role, now, rng.random());
                     calls += u32::from(step >= 800);
                 }
             }
@@ -57,35 +57,35 @@
 
 #[test]
 fn one_that_asks_for_others_is_back_within_a_second_and_a_half_of_the_store() {
-    let mut link = Link::default();
+    let mut health = StoreHealth::default();
     let mut now = clock::now();
     for _ in 0..20 {
-        link.fail(Role::Asks, now, 1.0);
-        let pause = link
+        health.fail(Role::Asks, now, 1.0);
+        let pause = health
             .wait(now)
             .expect("a failed call is followed by a pause");
         assert!(pause <= Duration::from_millis(400));
         now += pause;
-        assert_eq!(link.wait(now), None);
+        assert_eq!(health.wait(now), None);
     }
-    assert!(link.answer(now).is_some());
-    assert!(!link.is_lost());
+    assert!(health.answer(now).is_some());
+    assert!(!health.is_lost());
 }
 
 #[test]
 fn one_task_asks_at_a_time_while_the_store_is_lost() {
     let now = clock::now();
-    let mut link = Link::default();
-    assert_eq!((link.wait(now), link.wait(now)), (None, None));
-    assert!(link.fail(Role::Asks, now, 0.5));
+    let mut health = StoreHealth::default();
+    assert_eq!((health.wait(now), health.wait(now)), (None, None));
+    assert!(health.fail(Role::Asks, now, 0.5));
     assert!(
-        !link.fail(Role::Asks, now, 0.5),
+        !health.fail(Role::Asks, now, 0.5),
         "the store was already lost"
     );
     let now = now + Duration::from_millis(200);
-    assert_eq!(link.wait(now), None);
+    assert_eq!(health.wait(now), None);
     assert!(
-        link.wait(now).is_some(),
+        health.wait(now).is_some(),
         "another task is calling the store"
     );
 }
@@ -93,11 +93,11 @@
 #[test]
 fn one_that_relies_on_others_takes_their_word_for_the_return() {
     let now = clock::now();
-    let mut link = Link::default();
-    link.fail(Role::Relies, now, 0.5);
-    assert!(!link.note_return(now), "the return preceded the failure");
-    assert!(link.note_return(now + Duration::from_millis(1)));
-    assert!(!link.is_lost());
+    let mut health = StoreHealth::default();
+    health.fail(Role::Relies, now, 0.5);
+    assert!(!health.note_return(now), "the return preceded the failure");
+    assert!(health.note_return(now + Duration::from_millis(1)));
+    assert!(!health.is_lost());
 }
 
 #[test]
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -16,7 +16,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-fn content(number: u64) -> Fingerprint {
+fn fingerprint(number: u64) -> Fingerprint {
     Fingerprint::of(&Parts {
         organisation: Some("weavers"),
         method: &Method::POST,
@@ -36,7 +36,7 @@
 }
 
 fn take(quarantine: &mut Quarantine, request: u64, crash: &Crash) -> Verdict {
-    quarantine.record_crash(content(request), crash, crash.at)
+    quarantine.record_crash(fingerprint(request), crash, crash.at)
 }
 
 #[test]
@@ -47,11 +47,11 @@
     assert_eq!(first, Verdict::Suspected);
     assert_eq!(take(&mut quarantine, 1, &second), Verdict::Held);
     assert_eq!(
-        quarantine.time_left(content(1), second.at + SECOND),
+        quarantine.time_left(fingerprint(1), second.at + SECOND),
         Some(QUARANTINE_TIME.saturating_sub(SECOND))
     );
     assert_eq!(
-        quarantine.time_left(content(1), second.at + QUARANTINE_TIME + SECOND),
+        quarantine.time_left(fingerprint(1), second.at + QUARANTINE_TIME + SECOND),
         None
     );
 }
@@ -64,7 +64,7 @@
     // The caller retried at another entry, which detected the same crash.
     let later = crash(start, "a", 1_004, 1);
     assert_eq!(take(&mut quarantine, 1, &later), Verdict::Known);
-    assert_eq!(quarantine.time_left(content(1), later.at), None);
+    assert_eq!(quarantine.time_left(fingerprint(1), later.at), None);
 }
 
 #[test]
@@ -90,7 +90,7 @@
         let mut quarantine = Quarantine::default();
         for at in order {
             let now = start + 2 * SECOND;
-            quarantine.record_crash(content(1), &ends[at], now);
+            quarantine.record_crash(fingerprint(1), &ends[at], now);
         }
         assert_eq!(quarantine.quarantined_len(), 1, "{order:?}");
     }
@@ -100,8 +100,8 @@
 fn a_request_that_is_served_is_suspected_no_more() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
     take(&mut quarantine, 1, &crash(start, "a", 1_000, 50));
-    assert_eq!(quarantine.clear(content(1), start), Some(false));
-    assert_eq!(quarantine.clear(content(1), start), None);
+    assert_eq!(quarantine.clear(fingerprint(1), start), Some(false));
+    assert_eq!(quarantine.clear(fingerprint(1), start), None);
     let later = crash(start, "b", 9_000, 50);
     assert_eq!(take(&mut quarantine, 1, &later), Verdict::Suspected);
 }
@@ -114,9 +114,9 @@
     assert!(!quarantine.is_empty());
     quarantine.expire(start + 11 * 60 * SECOND);
     assert!(quarantine.is_empty());
-    assert!(quarantine.add(content(2), 5 * QUARANTINE_TIME, start));
+    assert!(quarantine.add(fingerprint(2), 5 * QUARANTINE_TIME, start));
     assert_eq!(
-        quarantine.time_left(content(2), start),
+        quarantine.time_left(fingerprint(2), start),
         Some(QUARANTINE_TIME)
     );
     quarantine.expire(start + QUARANTINE_TIME + SECOND);
@@ -126,8 +126,8 @@
 #[test]
 fn a_hold_that_was_told_is_not_told_of_as_new_again() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
-    assert!(quarantine.add(content(1), QUARANTINE_TIME, start));
-    assert!(!quarantine.add(content(1), QUARANTINE_TIME, start));
+    assert!(quarantine.add(fingerprint(1), QUARANTINE_TIME, start));
+    assert!(!quarantine.add(fingerprint(1), QUARANTINE_TIME, start));
     let end = crash(start, "a", 1_000, 50);
     assert_eq!(take(&mut quarantine, 1, &end), Verdict::HeldBefore);
 }
@@ -136,28 +136,28 @@
 fn a_hold_is_recorded_once() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
     assert!(
-        !quarantine.note_record(content(1), false),
+        !quarantine.note_record(fingerprint(1), false),
         "the request is not remembered"
     );
     take(&mut quarantine, 1, &crash(start, "a", 1_000, 50));
     assert!(
-        !quarantine.note_record(content(1), false),
+        !quarantine.note_record(fingerprint(1), false),
         "the request is not quarantined"
     );
-    quarantine.add(content(1), QUARANTINE_TIME, start);
-    assert!(quarantine.note_record(content(1), false));
-    quarantine.note_record(content(1), true);
-    assert!(!quarantine.note_record(content(1), false));
+    quarantine.add(fingerprint(1), QUARANTINE_TIME, start);
+    assert!(quarantine.note_record(fingerprint(1), false));
+    quarantine.note_record(fingerprint(1), true);
+    assert!(!quarantine.note_record(fingerprint(1), false));
 }
 
 #[test]
 fn however_many_are_suspected_the_table_is_bounded_and_holds_stay() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
-    quarantine.add(content(u64::MAX), QUARANTINE_TIME, start);
+    quarantine.add(fingerprint(u64::MAX), QUARANTINE_TIME, start);
     for number in 0..10_000 {
         take(&mut quarantine, number, &crash(start, "a", 1_000, 50));
     }
-    assert!(quarantine.time_left(content(u64::MAX), start).is_some());
+    assert!(quarantine.time_left(fingerprint(u64::MAX), start).is_some());
     assert!(quarantine.len() <= 4_096);
 }
 
@@ -175,7 +175,7 @@
             .map(|(number, &(sent, ran))| crash(start, &number.to_string(), sent + ran, ran))
             .collect();
         for (taken, end) in ends.iter().enumerate() {
-            quarantine.record_crash(content(1), end, start + 3 * SECOND);
+            quarantine.record_crash(fingerprint(1), end, start + 3 * SECOND);
             let known = &ends[..=taken];
             let pairs = known.iter().flat_map(|a| known.iter().map(move |b| (a, b)));
             let mut after = pairs.filter(|(a, b)| a.sent >= b.at);
@@ -188,24 +188,24 @@
 #[test]
 fn a_record_from_before_a_request_was_served_does_not_hold_it_again() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
-    quarantine.add(content(1), QUARANTINE_TIME, start);
-    assert!(!quarantine.is_cleared(content(1), start));
-    assert_eq!(quarantine.clear(content(1), start), Some(true));
-    assert!(quarantine.is_cleared(content(1), start + 30 * SECOND));
-    assert!(!quarantine.is_cleared(content(1), start + 600 * SECOND));
+    quarantine.add(fingerprint(1), QUARANTINE_TIME, start);
+    assert!(!quarantine.is_cleared(fingerprint(1), start));
+    assert_eq!(quarantine.clear(fingerprint(1), start), Some(true));
+    assert!(quarantine.is_cleared(fingerprint(1), start + 30 * SECOND));
+    assert!(!quarantine.is_cleared(fingerprint(1), start + 600 * SECOND));
     // It can be quarantined again if it crashes endpoints later.
     take(&mut quarantine, 1, &crash(start, "a", 9_000, 50));
     take(&mut quarantine, 1, &crash(start, "b", 12_000, 50));
     assert_eq!(quarantine.quarantined_len(), 1);
-    assert!(!quarantine.is_cleared(content(1), start + 13 * SECOND));
+    assert!(!quarantine.is_cleared(fingerprint(1), start + 13 * SECOND));
 }
 
 #[test]
 fn records_are_written_again_once_the_store_may_have_lost_them() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
-    quarantine.add(content(1), QUARANTINE_TIME, start);
-    assert!(!quarantine.note_record(content(1), true));
-    assert!(!quarantine.note_record(content(1), false));
+    quarantine.add(fingerprint(1), QUARANTINE_TIME, start);
+    assert!(!quarantine.note_record(fingerprint(1), true));
+    assert!(!quarantine.note_record(fingerprint(1), false));
     quarantine.forget_records();
-    assert!(quarantine.note_record(content(1), false));
+    assert!(quarantine.note_record(fingerprint(1), false));
 }
--- a/crates/lease/src/lease.rs
+++ b/crates/lease/src/lease.rs
@@ -216,7 +216,7 @@
         if self.wanted {
             self.acquire_or_renew(now)
         } else {
-            self.hand_back(now)
+            self.write_release(now)
         }
     }
 
@@ -251,7 +251,7 @@
         seen.since + self.options.takeover(seen.ttl)
     }
 
-    fn hand_back(&mut self, now: Instant) -> Option<Call> {
+    fn write_release(&mut self, now: Instant) -> Option<Call> {
         if let Some(held) = &self.held {
             let used = Arc::strong_count(&held.usage) > 1;
             if used && now < held.deadline {
--- a/crates/rebalance/src/agent/finish.rs
+++ b/crates/rebalance/src/agent/finish.rs
@@ -27,16 +27,17 @@
         state: &State,
         now: Instant,
     ) {
-        let silence = self
+        let unresponsive_for = self
             .leader
             .map_or(Duration::MAX, |(_, at)| now.saturating_duration_since(at));
         let round = self.rank.member.round();
-        let silent = self
+        let must_complete = self
             .takeover
-            .observe(place, round, &state.maps, silence, now);
+            .observe(place, round, &state.maps, unresponsive_for, now);
         let own = self.status(place, state);
         self.takeover.record(&own);
-        let (Some(round), Some((leader, _))) = (round.filter(|_| silent).cloned(), self.leader)
+        let (Some(round), Some((leader, _))) =
+            (round.filter(|_| must_complete).cloned(), self.leader)
         else {
             return;
         };
--- a/crates/rebalance/src/agent/orders.rs
+++ b/crates/rebalance/src/agent/orders.rs
@@ -83,7 +83,7 @@
                 saturated: GAIN_SATURATED,
                 copy: shape.copy,
             },
-            max_pause: self.neighbours.max_pause,
+            max_event_gap: self.neighbours.max_event_gap,
         };
         if self.rank.lead(place, shape, options, self.term) {
             self.ranks = vec![None; usize::from(place.size)];
@@ -246,7 +246,11 @@
             tracing::info!(group, version, "map in force");
         }
         Event::Abandoned(version) => {
-            tracing::warn!(group, version, "round given up, some rank did not load");
+            tracing::warn!(
+                group,
+                version,
+                "round abandoned, some rank did not load its map"
+            );
         }
         Event::Released(step) => {
             tracing::warn!(group, step, "group let go, some rank is out of reach");
--- a/crates/rebalance/src/coordinator.rs
+++ b/crates/rebalance/src/coordinator.rs
@@ -31,6 +31,7 @@
 /// reached all ranks yet and must not be given to another map: two incarnations collide in
 /// about one of a billion cases.
 const VERSION_SPAN: u64 = 1 << 32;
+
 /// The latest status report of a rank.
 #[derive(Debug, Clone)]
 struct Row {
@@ -166,12 +167,12 @@
     /// Returns the maps of all ranks if the status of each is recent.
     fn fresh_maps(&self, now: Instant) -> Option<Vec<Maps>> {
         let fresh = |row: &Row| now.saturating_duration_since(row.at) < STATUS_LIFETIME;
-        let word = |row: &Option<Row>| {
+        let maps = |row: &Option<Row>| {
             row.as_ref()
                 .filter(|row| fresh(row))
                 .map(|row| row.status.maps)
         };
-        self.rows.iter().map(word).collect()
+        self.rows.iter().map(maps).collect()
     }
 
     /// Returns the slowdown of the slowest rank.
--- a/crates/rebalance/src/coordinator/announce.rs
+++ b/crates/rebalance/src/coordinator/announce.rs
@@ -26,8 +26,8 @@
             Phase::Rest | Phase::Commit | Phase::Meet { .. } => true,
             Phase::Prepare | Phase::Arm { .. } => status.maps.current >= version,
         };
-        let heard = status.heard == Some(Progress { version, phase });
-        !self.is_followed_by(status) || !(follows || heard)
+        let is_acknowledged = status.heard == Some(Progress { version, phase });
+        !self.is_followed_by(status) || !(follows || is_acknowledged)
     }
 
     /// Returns whether a rank follows this leader.
--- a/crates/rebalance/src/coordinator/demand.rs
+++ b/crates/rebalance/src/coordinator/demand.rs
@@ -46,7 +46,10 @@
     pub(crate) fn new(shape: Shape, options: plan::Options) -> Self {
         Self {
             estimate: Estimate::new(shape.sets, shape.experts),
-            pressure: Pressure::new(f64::from(shape.expert_part) / THOUSAND, options.max_pause),
+            pressure: Pressure::new(
+                f64::from(shape.expert_part) / THOUSAND,
+                options.max_event_gap,
+            ),
             shape,
             options,
             shifted: false,
--- a/crates/rebalance/src/coordinator/hold.rs
+++ b/crates/rebalance/src/coordinator/hold.rs
@@ -125,8 +125,8 @@
     /// Returns whether all ranks have reported since the group was released because one was
     /// out of reach. Until then a round would be loaded in vain.
     pub(super) fn all_reachable_again(&self) -> bool {
-        let heard = |row: &Row| self.released_at.is_none_or(|at| row.at > at);
-        self.rows.iter().flatten().all(heard)
+        let has_reported = |row: &Row| self.released_at.is_none_or(|at| row.at > at);
+        self.rows.iter().flatten().all(has_reported)
     }
 
     /// Returns whether the ranks that were asked to hold the group before the pass have
--- a/crates/rebalance/src/endpoint.rs
+++ b/crates/rebalance/src/endpoint.rs
@@ -98,7 +98,10 @@
             .map(drop)
     }
 
-    async fn call(&mut self, request: Request<Bytes>, limit: Duration) -> Result<Bytes, Error> {
-        self.client.fetch(request, limit).await.map_err(Error::from)
+    async fn call(&mut self, request: Request<Bytes>, timeout: Duration) -> Result<Bytes, Error> {
+        self.client
+            .fetch(request, timeout)
+            .await
+            .map_err(Error::from)
     }
 }
--- a/crates/rebalance/src/neighbours.rs
+++ b/crates/rebalance/src/neighbours.rs
@@ -27,8 +27,8 @@
     pub(crate) shape: Option<Shape>,
     /// The number of requests that one of the service's endpoints runs at once.
     pub(crate) slots: u32,
-    /// The longest pause between events that the service's callers accept.
-    pub(crate) max_pause: Option<Duration>,
+    /// The longest gap between events that the service's callers accept.
+    pub(crate) max_event_gap: Option<Duration>,
 }
 
 impl<C: Codec> Neighbours<C> {
@@ -43,7 +43,7 @@
             data_centres: Vec::new(),
             shape: None,
             slots: 0,
-            max_pause: None,
+            max_event_gap: None,
         }
     }
 
@@ -63,7 +63,7 @@
                     let engine = service.and_then(|service| service.engine.as_ref());
                     self.shape = engine.and_then(|engine| engine.shape);
                     self.slots = engine.map_or(0, |engine| engine.slots);
-                    self.max_pause = configuration.pause(&self.service);
+                    self.max_event_gap = configuration.max_event_gap(&self.service);
                 }
             }
         }
--- a/crates/rebalance/src/plan.rs
+++ b/crates/rebalance/src/plan.rs
@@ -19,8 +19,8 @@
     pub copies_per_rank: usize,
     /// The reduction of the peak load required of each new expert.
     pub threshold: Threshold,
-    /// The longest pause between events that callers of the group accept.
-    pub max_pause: Option<Duration>,
+    /// The longest gap between events that callers of the group accept.
+    pub max_event_gap: Option<Duration>,
 }
 
 /// The state of the group that is planned for.
--- a/crates/rebalance/src/pressure.rs
+++ b/crates/rebalance/src/pressure.rs
@@ -15,14 +15,14 @@
     saturated: f64,
 }
 
-/// The current pass duration, as a fraction of the longest pause. Some passes take far
+/// The current pass duration, as a fraction of the longest event gap. Some passes take far
 /// longer than the mean, and longer passes keep slots occupied, which makes passes longer
 /// still.
 const PASS: Limit = Limit {
     relaxed: 0.25,
     saturated: 0.5,
 };
-/// The pass duration right after a demand shift, as a fraction of the longest pause:
+/// The pass duration right after a demand shift, as a fraction of the longest event gap:
 /// streams that run then become late at once if it is exceeded.
 const SHIFT: Limit = Limit {
     relaxed: 0.75,
@@ -49,7 +49,7 @@
 /// the work grows with the skew.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Pressure {
-    max_pause: Option<Duration>,
+    max_event_gap: Option<Duration>,
     /// The experts' part of the work.
     expert_share: f64,
     /// The duration of a pass with balanced ranks, in seconds.
@@ -62,12 +62,12 @@
 
 impl Pressure {
     /// Creates the pressure of a group that has not made a pass. `expert_share` is the part
-    /// of the work that experts do, `max_pause` the longest pause between events that
+    /// of the work that experts do, `max_event_gap` the longest gap between events that
     /// callers accept.
     #[must_use]
-    pub const fn new(expert_share: f64, max_pause: Option<Duration>) -> Self {
+    pub const fn new(expert_share: f64, max_event_gap: Option<Duration>) -> Self {
         Self {
-            max_pause,
+            max_event_gap,
             expert_share,
             balanced: None,
             utilisation: 0.0,
@@ -96,11 +96,13 @@
     /// measured.
     #[must_use]
     pub fn at(&self, skew: u32) -> f64 {
-        let max_pause = self.max_pause.filter(|max_pause| !max_pause.is_zero());
-        let Some((balanced, max_pause)) = self.balanced.zip(max_pause) else {
+        let max_event_gap = self
+            .max_event_gap
+            .filter(|max_event_gap| !max_event_gap.is_zero());
+        let Some((balanced, max_event_gap)) = self.balanced.zip(max_event_gap) else {
             return 1.0;
         };
-        let fraction = |skew| balanced * self.skew_factor(skew) / max_pause.as_secs_f64();
+        let fraction = |skew| balanced * self.skew_factor(skew) / max_event_gap.as_secs_f64();
         let now = PASS.closeness(fraction(f64::from(skew)));
         let shift = self
             .shift_skew
--- a/crates/rebalance/src/takeover.rs
+++ b/crates/rebalance/src/takeover.rs
@@ -44,7 +44,7 @@
         place: &Place,
         round: Option<&Round>,
         maps: &Maps,
-        silence: Duration,
+        unresponsive_for: Duration,
         now: Instant,
     ) -> bool {
         let since = match self.last_pass {
@@ -63,7 +63,7 @@
         }
         let timeout =
             STALL_TIMEOUT + STALL_TIMEOUT_PER_RANK * u32::from(place.rank.saturating_sub(1));
-        let stalled = now.saturating_duration_since(since).min(silence);
+        let stalled = now.saturating_duration_since(since).min(unresponsive_for);
         version.is_some() && place.rank > 0 && stalled >= timeout
     }
 
--- a/crates/rebalance/tests/coordinator.rs
+++ b/crates/rebalance/tests/coordinator.rs
@@ -55,7 +55,7 @@
     let options = plan::Options {
         copies_per_rank: 2,
         threshold: THRESHOLD,
-        max_pause: None,
+        max_event_gap: None,
     };
     Coordinator::new(place(0), SHAPE, options, term)
 }
--- a/crates/rebalance/tests/plan.rs
+++ b/crates/rebalance/tests/plan.rs
@@ -44,7 +44,7 @@
             saturated: gain,
             copy: Duration::from_secs(1),
         },
-        max_pause: None,
+        max_event_gap: None,
     }
 }
 
--- a/crates/rebalance/tests/price.rs
+++ b/crates/rebalance/tests/price.rs
@@ -1,9 +1,9 @@
 //! The gain required of a copy, by how near the group is to its limits.
 //!
-//! On a quiet day with passes of half of the longest pause, a threshold of a quarter of the
+//! On a quiet day with passes of half of the longest event gap, a threshold of a quarter of the
 //! mean load for each second that a copy takes moved 770 GB in 34 s. With the threshold
 //! derived from the pressure, 190 to 300 GB were moved and as many streams were on time.
-//! Where passes are near the pause, a higher threshold cost up to a third of the streams.
+//! Where passes are near that gap, a higher threshold cost up to a third of the streams.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 use cactusnotch_rebalance::threshold::Threshold;
 use cactusnotch_rebalance::{Map, Shape};
 
-const PAUSE: Duration = Duration::from_millis(120);
+const MAX_EVENT_GAP: Duration = Duration::from_millis(120);
 const THRESHOLD: Threshold = Threshold {
     relaxed: 6.0,
     saturated: 0.25,
@@ -24,7 +24,7 @@
 const EVEN: u32 = 1_000;
 
 fn pressure(pass: u64) -> Pressure {
-    let mut pressure = Pressure::new(0.85, Some(PAUSE));
+    let mut pressure = Pressure::new(0.85, Some(MAX_EVENT_GAP));
     pressure.measure(Duration::from_millis(pass), EVEN);
     pressure
 }
@@ -47,13 +47,16 @@
 
 #[test]
 fn a_group_of_which_nothing_is_known_counts_as_pressed() {
-    assert!(approx_eq(Pressure::new(0.85, Some(PAUSE)).at(EVEN), 1.0));
+    assert!(approx_eq(
+        Pressure::new(0.85, Some(MAX_EVENT_GAP)).at(EVEN),
+        1.0
+    ));
     assert!(approx_eq(Pressure::new(0.85, None).at(EVEN), 1.0));
 }
 
 #[test]
 fn skew_lengthens_the_experts_part_only() {
-    let mut skewed = Pressure::new(0.85, Some(PAUSE));
+    let mut skewed = Pressure::new(0.85, Some(MAX_EVENT_GAP));
     // 15 ms without experts and 85 ms for experts at twice the mean load.
     skewed.measure(Duration::from_micros(57_500), 2 * EVEN);
     // With even ranks a pass takes 57.5 / 1.85 = 31.1 ms.
@@ -99,7 +102,7 @@
     let options = Options {
         copies_per_rank: 4,
         threshold: THRESHOLD,
-        max_pause: Some(PAUSE),
+        max_event_gap: Some(MAX_EVENT_GAP),
     };
     let group = Group {
         pressure,
--- a/crates/rebalance/tests/slow_rank.rs
+++ b/crates/rebalance/tests/slow_rank.rs
@@ -36,7 +36,7 @@
         saturated: 0.25,
         copy: SHAPE.copy,
     },
-    max_pause: None,
+    max_event_gap: None,
 };
 
 fn number(value: usize) -> u16 {
--- a/crates/rebalance/tests/world/mod.rs
+++ b/crates/rebalance/tests/world/mod.rs
@@ -382,10 +382,12 @@
             held: None,
         };
         let round = agent.rank.member.round().cloned();
-        let silence = TICK * u32::try_from(self.tick - agent.leader_seen).expect("a run is short");
-        let silent = agent
-            .takeover
-            .observe(&place, round.as_ref(), &maps, silence, now);
+        let unresponsive_for =
+            TICK * u32::try_from(self.tick - agent.leader_seen).expect("a run is short");
+        let must_complete =
+            agent
+                .takeover
+                .observe(&place, round.as_ref(), &maps, unresponsive_for, now);
         agent.takeover.record(&status);
         let request = agent.finisher.filter(|&(_, tick)| self.tick - tick < 50);
         if let Some((finisher, _)) = request {
@@ -393,7 +395,7 @@
         }
         let leader = self.endpoints[0].report(self.step);
         let agent = &mut self.agents[at];
-        let round = round.filter(|_| silent);
+        let round = round.filter(|_| must_complete);
         let Some(round) = round.and_then(|round| agent.takeover.round(&round, &leader)) else {
             return;
         };
@@ -419,7 +421,7 @@
             let options = plan::Options {
                 copies_per_rank: 2,
                 threshold: THRESHOLD,
-                max_pause: None,
+                max_event_gap: None,
             };
             let term = self.rng.random();
             agent.rank.lead(&place, SHAPE, options, term);
