--- a/crates/history/src/port.rs
+++ b/crates/history/src/port.rs
@@ -130,6 +130,6 @@
 
 fn malformed(object: &Object) -> Reply {
     Reply::Failed {
-        detail: format!("object {} cannot be decoded", object.path),
+        detail: format!("{} cannot be decoded", object.path),
     }
 }
--- a/crates/history/src/reader.rs
+++ b/crates/history/src/reader.rs
@@ -13,13 +13,13 @@
 #[derive(Debug, Clone, PartialEq, Eq, Display, Error)]
 pub enum Error {
     /// The platform did not answer.
-    #[display("reading the edit history from the platform: {detail}")]
+    #[display("following the order of edits: {detail}")]
     Unavailable {
         /// What went wrong.
         detail: String,
     },
     /// The entries of the platform don't continue the history of the replica.
-    #[display("applying the edit history of the platform: {answer}")]
+    #[display("following the order of edits: {answer}")]
     Broken {
         /// The result of applying them to the replica.
         #[error(not(source))]
--- a/crates/history/src/submission.rs
+++ b/crates/history/src/submission.rs
@@ -118,7 +118,7 @@
             _ => {
                 self.pending = None;
                 let slot = Entry::path(entry.revision);
-                Step::Done(self.give_up(format!("object {slot} holds no entry")))
+                Step::Done(self.give_up(format!("{slot} holds no entry")))
             }
         }
     }
@@ -135,9 +135,7 @@
     fn lost_race(&mut self, replica: &Replica, slot: Revision) -> Step<Verdict> {
         self.pending = None;
         if self.races == 0 {
-            return Step::Done(self.give_up(format!(
-                "revision {slot} and those tried before were taken by other edits"
-            )));
+            return Step::Done(self.give_up(format!("{slot} and those before went to others")));
         }
         self.races -= 1;
         self.catch_up(replica)
@@ -181,13 +179,11 @@
             ..
         } = reply
         else {
-            return Step::Done(self.give_up("the platform has a floor but no snapshot".to_owned()));
+            return Step::Done(self.give_up("there is a floor and no snapshot".to_owned()));
         };
         let snapshot = stored.value;
         if !covers(&snapshot, entry.revision) {
-            return Step::Done(
-                self.give_up("the snapshot no longer covers this revision".to_owned()),
-            );
+            return Step::Done(self.give_up("the order has gone on too far".to_owned()));
         }
         let answer = replica.offer_snapshot(&snapshot);
         if !answer.is_held() {
