--- a/crates/rebalance/src/agent/orders.rs
+++ b/crates/rebalance/src/agent/orders.rs
@@ -246,11 +246,7 @@
             tracing::info!(group, version, "map in force");
         }
         Event::Abandoned(version) => {
-            tracing::warn!(
-                group,
-                version,
-                "round abandoned, some rank did not load its map"
-            );
+            tracing::warn!(group, version, "round given up, some rank did not load");
         }
         Event::Released(step) => {
             tracing::warn!(group, step, "group let go, some rank is out of reach");
