--- a/crates/admit/tests/gate.rs
+++ b/crates/admit/tests/gate.rs
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_waiting_request_is_refused_once_it_is_hopeless() {
+fn a_waiting_request_is_refused_once_it_would_be_late() {
     let mut bench = Bench::new(Options::default());
     let a = Organisation::new("a");
     let left = Duration::from_secs(20);
--- a/crates/admit/tests/quota.rs
+++ b/crates/admit/tests/quota.rs
@@ -217,7 +217,7 @@
     /// The entries together never hold more than the cap, under lost, repeated
     /// and late messages, restarts, pauses and roster changes.
     #[test]
-    fn the_sum_of_slices_never_exceeds_the_cap(
+    fn held_quota_never_exceeds_the_cap(
         ops in prop::collection::vec((0_u8..39, 0..NODES, any::<u16>()), 20..200),
     ) {
         let mut world = World::new();
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn what_a_dead_entry_held_comes_back_with_the_lease() {
+fn quota_of_a_crashed_entry_returns_after_the_lease() {
     let mut world = World::new();
     world.set_demand(0, 0, 100);
     world.settle(Duration::from_secs(5));
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn a_cut_cap_is_in_force_a_hold_after_all_took_it() {
+fn a_lowered_cap_applies_one_hold_after_all_applied_it() {
     let mut world = World::new();
     for node in 0..NODES {
         world.set_demand(node, 20, 20);
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_paused_home_lends_nothing_until_it_is_confirmed_again() {
+fn a_paused_lender_lends_nothing_until_reconfirmed() {
     let mut world = World::new();
     world.set_demand(0, 0, 100);
     world.settle(Duration::from_secs(5));
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn a_grant_to_a_former_life_is_not_taken() {
+fn a_grant_to_a_former_incarnation_is_ignored() {
     let (mut world, _) = with_one_lender(CAP);
     world.deliver(0, false);
     let grant = world.in_flight.remove(0);
--- a/crates/attempt/tests/explore/main.rs
+++ b/crates/attempt/tests/explore/main.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn claims_hold_when_an_agent_is_replaced_empty() {
+fn claims_hold_when_an_agent_restarts_with_an_empty_ledger() {
     let faults = Faults {
         killed_agents: 1,
         duplicated_frames: 1,
@@ -140,7 +140,7 @@
 
 #[test]
 #[should_panic(expected = "the key started more than once")]
-fn a_platform_that_ignores_conditions_is_found_out() {
+fn a_platform_that_ignores_conditions_is_detected() {
     let setup = Setup {
         ticket: false,
         repeat: Repeat::Once,
--- a/crates/claim/tests/shard.rs
+++ b/crates/claim/tests/shard.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_claim_is_refused_when_the_platform_is_down_and_may_stand_later() {
+fn a_claim_is_refused_while_the_platform_is_down_and_granted_later() {
     let mut platform = Platform::new();
     let mut writer = shard(1);
     let fates = [Fate::Down; 2];
--- a/crates/gateway/tests/admission.rs
+++ b/crates/gateway/tests/admission.rs
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn long_passes_keep_both_out() {
+fn long_passes_shed_first_attempts_and_retries() {
     let long = Forecast {
         pass_time: Some(Duration::from_millis(140)),
         ..FREE
--- a/crates/gateway/tests/asleep.rs
+++ b/crates/gateway/tests/asleep.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_proof_of_keys_is_too_old() {
+fn a_confirmation_of_keys_expires_during_a_suspension() {
     let bound = Some(Duration::from_secs(5));
     let freshness = suspend_after(|| {
         let mut freshness = Freshness::new(bound);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_entry_that_was_heard_is_silent() {
+fn an_entry_observed_before_a_suspension_is_unresponsive() {
     let address = "127.0.0.1:7340".parse().expect("the address is valid");
     let mut peers = Peers::new("edge-1", "a");
     suspend_after(|| {
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn the_stores_return_is_long_ago() {
+fn the_end_of_an_outage_ages_during_a_suspension() {
     let mut outage = Outage::default();
     suspend_after(|| {
         outage.end(clock::now());
--- a/crates/gateway/tests/link.rs
+++ b/crates/gateway/tests/link.rs
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn one_that_relies_on_others_takes_their_word_for_the_return() {
+fn a_relying_entry_accepts_a_reported_return() {
     let now = clock::now();
     let mut health = StoreHealth::default();
     health.fail(Role::Relies, now, 0.5);
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn the_first_that_are_heard_ask_for_their_data_centre() {
+fn the_first_alive_entries_call_for_their_data_centre() {
     let now = clock::now();
     let peer = |at: u8| std::net::SocketAddr::from(([10, 0, 0, at], 7340));
     let mut peers = Peers::new("c", "east");
--- a/crates/gateway/tests/patience.rs
+++ b/crates/gateway/tests/patience.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_route_whose_callers_get_less_patient_learns_it() {
+fn a_shorter_time_budget_is_learnt() {
     let mut budgets = TimeBudgets::default();
     let mut is_returning =
         |stated: u64| budgets.has_returned("r", Some(Duration::from_millis(stated)));
--- a/crates/gateway/tests/proof.rs
+++ b/crates/gateway/tests/proof.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_young_era_proves_nothing_until_what_is_lost_may_be_written_again() {
+fn an_unsettled_era_confirms_nothing_until_lost_writes_may_be_repeated() {
     let since = clock::now();
     let settled = since + REWRITE_TIME;
     let shown = shown(1, 7);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_another_era_has_shown_proves_nothing_in_this_one() {
+fn answers_of_another_era_confirm_nothing() {
     let since = clock::now();
     let later = since + 5 * REWRITE_TIME;
     let mut shown = shown(1, 7);
--- a/crates/gateway/tests/quarantine.rs
+++ b/crates/gateway/tests/quarantine.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn what_several_entries_tell_of_one_end_counts_once() {
+fn one_crash_reported_by_several_entries_counts_once() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
     let reported = crash(start, "a", 1_000, 50);
     assert_eq!(take(&mut quarantine, 1, &reported), Verdict::Suspected);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_is_told_out_of_order_counts_the_same() {
+fn crashes_reported_out_of_order_count_the_same() {
     let start = clock::now();
     let ends = [
         crash(start, "a", 1_000, 50),
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_hold_that_was_told_is_not_told_of_as_new_again() {
+fn a_repeated_quarantine_is_not_new() {
     let (start, mut quarantine) = (clock::now(), Quarantine::default());
     assert!(quarantine.add(fingerprint(1), QUARANTINE_TIME, start));
     assert!(!quarantine.add(fingerprint(1), QUARANTINE_TIME, start));
--- a/crates/history/tests/exploration.rs
+++ b/crates/history/tests/exploration.rs
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_cap_never_comes_under_a_floor() {
+fn a_limit_is_never_below_the_sum_of_floors() {
     let cap = vec![set("a", Key::ConcurrencyLimit, 3)];
     let ends = explore(cap, vec![set("o", Key::ConcurrencyFloor, 5)]);
     assert!(ends > 1_000, "{ends} ends");
--- a/crates/history/tests/writer.rs
+++ b/crates/history/tests/writer.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_loser_of_a_race_is_told_of_the_other_edit() {
+fn a_conflict_names_the_other_edit() {
     let (store, mut winner) = laid_out();
     let mut loser = writer(&store);
     let first = priority("maite", 1, 7);
@@ -137,7 +137,7 @@
 }
 
 #[test]
-fn a_long_order_is_folded_and_read_in_three_calls() {
+fn a_long_history_is_compacted_and_read_in_three_calls() {
     let (store, mut first) = laid_out();
     let mut late = writer(&store);
     late.replica_mut().offer_entries(first.replica().entries());
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn a_number_that_was_used_and_trimmed_misleads_no_reader() {
+fn a_reader_ignores_a_late_write_under_a_deleted_number() {
     let (store, mut first) = laid_out();
     let mut reader = Reader::new(store.clone(), Replica::new());
     assert!(reader.sync().is_ok());
--- a/crates/member/tests/liveness.rs
+++ b/crates/member/tests/liveness.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_suspected_process_refutes_and_a_silent_one_counts_as_dead() {
+fn a_suspect_refutes_and_an_unresponsive_process_counts_as_dead() {
     let (roster, now) = (roster(8), clock::now());
     let (mut a, mut b) = (view(0), view(1));
     a.suspect(&name(1), Incarnation(1), now);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn whoever_missed_a_refutation_is_told_again() {
+fn a_refutation_is_sent_again_to_a_peer_that_missed_it() {
     let (roster, now) = (roster(8), clock::now());
     let (mut informed, mut missed) = (view(0), view(1));
     let mut rumour = Rumour {
--- a/crates/node/tests/order.rs
+++ b/crates/node/tests/order.rs
@@ -100,7 +100,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leftover_under_a_trimmed_number_is_not_taken() {
+async fn a_leftover_entry_of_a_trimmed_revision_is_ignored() {
     let (_platform, options) = platform();
     let client = Client::new(&options);
     let mut replica = Replica::new();
--- a/crates/order/tests/sender.rs
+++ b/crates/order/tests/sender.rs
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn the_former_holder_is_waited_out_only_where_fencing_is_ignored() {
+fn takeover_waits_for_the_former_lease_only_without_fencing() {
     let options = Options {
         fencing: Fencing::Ignored,
         lease: Duration::from_secs(10),
@@ -249,7 +249,7 @@
     /// Whatever packets are lost, late or repeated, an engine that checks
     /// fencing numbers ends in the state that was wanted last.
     #[test]
-    fn the_last_wish_holds_in_the_end(steps in steps()) {
+    fn the_last_wanted_state_prevails(steps in steps()) {
         let mut link = Link::new(Fencing::Checked);
         let mut wanted = [0, 0];
         for step in steps {
--- a/crates/placement/tests/placement/policy.rs
+++ b/crates/placement/tests/placement/policy.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn traffic_is_split_anew_before_anything_is_moved() {
+fn traffic_is_rebalanced_before_experts_are_moved() {
     let even = vec![BASE_LOAD; SHAPE.cells()];
     let mut group = group(&even);
     let lasting = loads_with_hot_expert(SHAPE, BASE_LOAD, 3, 1.5);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_slow_rank_is_given_less() {
+fn a_slow_rank_receives_less_traffic() {
     let even = vec![BASE_LOAD; SHAPE.cells()];
     let mut group = group(&even);
     group.speeds[5] /= 2.0;
--- a/crates/popularity/tests/estimates.rs
+++ b/crates/popularity/tests/estimates.rs
@@ -75,7 +75,7 @@
     /// The rates depend neither on the order of reports nor on duplicates, and a
     /// lost report does not change a steady rate.
     #[test]
-    fn late_repeated_and_lost_reports_do_not_bend_a_rate(
+    fn delayed_duplicate_and_lost_reports_do_not_change_a_rate(
         rate in 10.0..500.0_f64,
         order in Just((0..60_u64).collect::<Vec<_>>()).prop_shuffle(),
         lost in proptest::collection::vec(any::<bool>(), 60),
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_former_life_of_a_rank_is_not_counted() {
+fn a_report_of_an_earlier_incarnation_is_not_counted() {
     let mut popularity = observe_rates((0..10).map(|_| 50.0));
     let mut replaced = report(0, 0, 50.0);
     replaced.incarnation = Incarnation(2);
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn a_steep_rise_is_followed_ahead_and_a_jump_is_not_overshot() {
+fn a_steep_rise_is_extrapolated_and_a_jump_is_not_overshot() {
     // The rate rises eightfold within two minutes; the estimate is read after
     // thirty seconds.
     let rise = |at: i32| 100.0 * (1.0 + 7.0 * f64::from((at - 600).max(0)) / 120.0);
--- a/crates/position/tests/eras.rs
+++ b/crates/position/tests/eras.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn a_store_without_eras_is_in_one_that_is_not_young() {
+fn a_store_without_eras_is_settled() {
     let (eras, now) = start();
     assert_eq!(eras.observe(Era(0), now), Observation::Current);
     assert_eq!(eras.observe(Era(0), now), Observation::Current);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn an_answer_of_an_era_that_has_ended_says_nothing() {
+fn an_answer_of_an_ended_era_is_ignored() {
     let (eras, now) = start();
     eras.observe(Era(2), now);
     assert_eq!(eras.observe(Era(1), now), Observation::Ended);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_process_that_starts_in_a_later_era_takes_it_for_young() {
+fn a_process_that_starts_in_a_later_era_treats_it_as_unsettled() {
     let (eras, now) = start();
     assert_eq!(eras.observe(Era(1), now), Observation::Current);
     assert_eq!(eras.unsettled_since(), Some(now));
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn what_others_tell_is_a_reason_to_ask_and_no_more() {
+fn a_report_by_another_process_only_triggers_a_query() {
     let (eras, now) = start();
     eras.observe(Era(1), now);
     eras.record_report(Era(1), now);
--- a/crates/position/tests/progress.rs
+++ b/crates/position/tests/progress.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_answer_that_others_have_outrun_takes_nothing_back() {
+fn a_late_answer_does_not_reduce_the_progress() {
     let mut progress = Progress::default();
     progress.advance(at(10));
     // A watch from 10 is answered with changes up to 11 while a datagram delivers
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn what_is_known_of_an_era_that_has_ended_leads_nowhere() {
+fn progress_of_an_ended_era_does_not_continue_in_the_next() {
     let mut progress = Progress::default();
     progress.advance(Position::new(Era(1), 50));
     let again = Position::new(Era(2), 40);
--- a/crates/rebalance/tests/again.rs
+++ b/crates/rebalance/tests/again.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_word_that_was_lost_is_said_again_when_the_round_is_told_again() {
+fn a_lost_status_is_resent_when_the_round_is_repeated() {
     let base = clock::now();
     assert!(
         !resend::is_due(None, base),
--- a/crates/rebalance/tests/coordinator.rs
+++ b/crates/rebalance/tests/coordinator.rs
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn two_lives_never_give_one_version_to_two_maps() {
+fn two_incarnations_never_give_one_version_to_two_maps() {
     let now = clock::now();
     let (_, first) = begin(17, now);
     let (_, second) = begin(40_000, now);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn words_from_before_this_life_do_not_count() {
+fn status_reports_of_an_earlier_incarnation_are_ignored() {
     let now = clock::now();
     let mut lead = coordinator(9);
     lead.record(status(0, 9, Maps::default()), now);
--- a/crates/rebalance/tests/datagrams.rs
+++ b/crates/rebalance/tests/datagrams.rs
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn spoilt_datagrams_are_borne() {
+fn corrupted_datagrams_never_panic() {
     let seeds = std::env::var("FUZZ_SEEDS")
         .ok()
         .and_then(|s| s.parse().ok());
--- a/crates/rebalance/tests/estimate.rs
+++ b/crates/rebalance/tests/estimate.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_turn_of_demand_is_in_the_estimate_within_two_reports() {
+fn a_demand_shift_is_in_the_estimate_within_two_reports() {
     let mut rng = SmallRng::seed_from_u64(3);
     let mut estimate = Estimate::new(1, EXPERTS);
     let mut now = clock::now();
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_window_that_straddles_a_turn_does_not_hide_it() {
+fn a_window_across_a_demand_shift_does_not_hide_it() {
     let mut rng = SmallRng::seed_from_u64(4);
     let mut estimate = Estimate::new(1, EXPERTS);
     let mut now = clock::now();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn noise_is_hardly_ever_taken_for_a_turn() {
+fn noise_is_rarely_detected_as_a_demand_shift() {
     let mut shifts = 0;
     for seed in 0..50 {
         let mut rng = SmallRng::seed_from_u64(seed);
--- a/crates/rebalance/tests/plan.rs
+++ b/crates/rebalance/tests/plan.rs
@@ -135,7 +135,7 @@
     }
 
     #[test]
-    fn packed_counts_are_told_to_one_in_255_of_the_most_chosen(
+    fn packed_counts_have_a_precision_of_one_in_255(
         counts in proptest::collection::vec(0_u64..1_000_000, 32),
     ) {
         let (units, bytes) = pack(&counts, 16);
--- a/crates/rebalance/tests/price.rs
+++ b/crates/rebalance/tests/price.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn short_passes_make_copies_dear_and_long_ones_cheap() {
+fn short_passes_raise_the_threshold_and_long_ones_lower_it() {
     assert!(approx_eq(pressure(30).at(EVEN), 0.0));
     assert!(approx_eq(pressure(80).at(EVEN), 1.0));
     assert!(
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_group_of_which_nothing_is_known_counts_as_pressed() {
+fn a_group_without_measurements_is_at_full_pressure() {
     assert!(approx_eq(
         Pressure::new(0.85, Some(MAX_EVENT_GAP)).at(EVEN),
         1.0
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn turns_that_leave_much_skew_press_a_group_with_short_passes() {
+fn demand_shifts_with_large_skew_raise_the_pressure() {
     let mut group = pressure(40);
     let before = group.at(EVEN);
     group.record_shift(3_100);
--- a/crates/rebalance/tests/slow_rank.rs
+++ b/crates/rebalance/tests/slow_rank.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn maps_that_take_all_ranks_for_equal_leave_the_group_slow() {
+fn maps_that_ignore_slowdown_leave_the_group_slow() {
     let mut map = round_robin();
     run_rounds(&mut map, &slowdowns(&[]), 6 + ROUNDS);
     let left = skew_of(&map, &demand(), &slowdowns(&[SLOW]));
--- a/crates/route/tests/router.rs
+++ b/crates/route/tests/router.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn an_avoided_endpoint_gets_work_only_if_no_other_has_any_to_take() {
+fn an_avoided_endpoint_receives_requests_only_if_no_other_serves() {
     let now = clock::now();
     let mut router = router(&local_members(2));
     let (slow, other) = (Endpoint::new("s00"), Endpoint::new("s01"));
@@ -169,7 +169,7 @@
 /// decays to the mean of the other endpoints, which fill up meanwhile, so it would look idle
 /// in comparison.
 #[test]
-fn an_endpoint_that_has_fallen_silent_gets_work_only_if_no_other_has_any_to_take() {
+fn an_endpoint_without_recent_reports_is_avoided_while_others_serve() {
     let now = clock::now();
     let timeout = Duration::from_millis(800);
     let mut router = router(&local_members(2));
@@ -306,7 +306,7 @@
 }
 
 #[test]
-fn work_stays_home_until_it_is_full_there() {
+fn requests_stay_in_the_nearest_data_centre_until_it_is_full() {
     let service = service();
     let members = [member("s0", "a"), member("s1", "b"), member("s2", "c")];
     let mut router = router(&members);
@@ -504,7 +504,7 @@
 }
 
 #[test]
-fn an_entry_keeps_its_part_of_the_room_while_reports_tell_of_others() {
+fn headroom_is_at_least_an_equal_share() {
     let service = service();
     let members = local_members(1);
     let mut router = router(&members);
--- a/crates/spread/tests/convergence.rs
+++ b/crates/spread/tests/convergence.rs
@@ -173,7 +173,7 @@
     })]
 
     #[test]
-    fn no_process_reverts_and_nothing_unproved_is_said_to_be_in_force(seed in any::<u64>()) {
+    fn no_process_reverts_and_no_unconfirmed_revision_is_reported_in_force(seed in any::<u64>()) {
         let mut world = started(seed);
         let mut checks = Checks::new();
         for _ in 0..160 {
--- a/crates/spread/tests/entrance.rs
+++ b/crates/spread/tests/entrance.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn peers_that_have_not_caught_up_themselves_prove_nothing() {
+fn answers_of_peers_that_have_not_caught_up_do_not_count() {
     let mut bench = restarted();
     for _ in 0..3 {
         bench.wait(Duration::from_secs(1));
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn answers_from_before_a_process_was_out_of_touch_do_not_count() {
+fn answers_from_before_an_isolation_do_not_count() {
     let mut bench = restarted();
     pong(&mut bench, "b", 0, true);
     pong(&mut bench, "c", 0, true);
--- a/crates/spread/tests/proof.rs
+++ b/crates/spread/tests/proof.rs
@@ -12,7 +12,7 @@
 const SHORT: Duration = Duration::from_millis(1_500);
 
 #[test]
-fn an_acknowledgement_proves_for_a_while_only() {
+fn an_acknowledgement_expires() {
     let mut bench = Bench::new();
     bench.wait(SHORT);
     bench.acknowledge(bench.stamp, 2);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn an_acknowledgement_of_an_earlier_life_proves_nothing() {
+fn an_acknowledgement_of_an_earlier_incarnation_does_not_count() {
     let mut bench = Bench::new();
     bench.wait(SHORT);
     bench.accept(5);
--- a/crates/spread/tests/scenarios.rs
+++ b/crates/spread/tests/scenarios.rs
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_second_process_of_the_same_name_ends_the_first() {
+fn a_second_process_of_the_same_name_supersedes_the_first() {
     let mut world = settled();
     let first = world.slots[2].node.take().expect("it is up");
     world.start(2);
--- a/crates/switch/tests/explore.rs
+++ b/crates/switch/tests/explore.rs
@@ -101,7 +101,7 @@
 };
 
 #[test]
-fn two_ranks_lose_and_repeat() {
+fn two_ranks_with_loss_and_duplicates() {
     let faults = Faults {
         losses: 1,
         duplicates: 1,
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn three_ranks_lose() {
+fn three_ranks_with_loss() {
     let faults = Faults { losses: 1, ..NONE };
     explore("3 ranks, 1 loss", proposing(3, options()), faults, ALL, 8);
 }
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn two_ranks_are_replaced_and_lose() {
+fn two_ranks_with_loss_and_replacement() {
     let faults = Faults {
         losses: 1,
         replacements: 1,
@@ -218,7 +218,7 @@
 
 #[test]
 #[ignore = "takes minutes; the smaller cases above run each time"]
-fn ranks_are_replaced_twice_in_every_way() {
+fn ranks_are_replaced_twice_with_every_kind() {
     let faults = Faults {
         replacements: 2,
         ..NONE
--- a/crates/switch/tests/larger.rs
+++ b/crates/switch/tests/larger.rs
@@ -148,7 +148,7 @@
     /// The ranks use one map in every step and make progress once faults have
     /// stopped.
     #[test]
-    fn larger_groups_agree_and_go_on(size in 8_u16..=16, loss in 0.0..0.1, seed: u64) {
+    fn larger_groups_agree_and_make_progress(size in 8_u16..=16, loss in 0.0..0.1, seed: u64) {
         let mut walk = Walk::new(size, loss, seed);
         for _ in 0..EVENTS {
             walk.advance();
--- a/crates/throttle/tests/cold.rs
+++ b/crates/throttle/tests/cold.rs
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn it_ends_by_its_time_and_by_a_word() {
+fn a_warmup_ends_on_expiry_or_explicitly() {
     let now = clock::now();
     let hosts = hosts(2);
     let mut warmups = table("edge-0", &hosts, now);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_time_out_of_all_bounds_is_cut() {
+fn an_excessive_warmup_is_capped() {
     let now = clock::now();
     let mut warmups = table("edge-0", &hosts(1), now);
     warmups.begin(ENDPOINT, Duration::MAX, rate(2.0), now);
--- a/crates/throttle/tests/limits.rs
+++ b/crates/throttle/tests/limits.rs
@@ -337,7 +337,7 @@
 }
 
 #[test]
-fn all_entries_hear_within_six_seconds_that_a_limit_is_over() {
+fn all_entries_observe_the_end_of_a_limit_within_six_seconds() {
     for entries in SIZES {
         for limit in LIMITS {
             let mut run = Run::new(entries, 3);
@@ -351,7 +351,7 @@
 /// Datagrams within a data centre are lost at a rate of at most one in thirty; here half of the
 /// reports are lost.
 #[test]
-fn entries_agree_in_the_end_whatever_words_are_lost() {
+fn entries_converge_despite_lost_reports() {
     for entries in [6, 36] {
         let mut run = Run::new(entries, 4);
         run.loss = 0.5;
@@ -376,7 +376,7 @@
 
 /// An entry on a suspended host resumes with a cached limit that has fallen meanwhile.
 #[test]
-fn entries_that_were_asleep_when_a_limit_fell_take_no_more_than_their_parts() {
+fn suspended_entries_stay_within_a_lowered_limit() {
     let mut run = Run::new(6, 7);
     run.pass(10 * SECOND, |_| Some(5.0));
     run.suspended = vec![1, 2];
@@ -449,7 +449,7 @@
 }
 
 #[test]
-fn a_pause_saves_nothing_up() {
+fn idle_time_accumulates_no_burst() {
     let now = clock::now();
     for entries in SIZES {
         for limit in LIMITS {
--- a/crates/throttle/tests/rests.rs
+++ b/crates/throttle/tests/rests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_rest_lasts_as_long_as_the_longest_that_was_asked_for() {
+fn the_longest_requested_backoff_applies() {
     let now = clock::now();
     let at = |time| now + seconds(time);
     // The time of a request, the requested back-off, and the newly granted one.
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn rests_beyond_all_bounds_are_cut() {
+fn excessive_backoffs_are_capped() {
     let now = clock::now();
     let mut backoffs = Backoffs::default();
     assert_eq!(
