--- a/crates/base/tests/clock.rs
+++ b/crates/base/tests/clock.rs
@@ -7,7 +7,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 #[test]
-fn the_time_asleep_counts_in_ages_and_in_the_time_of_day() {
+fn suspension_advances_ages_and_wall_clock() {
     let suspension = Suspension::default();
     suspension.install();
     let (before, day_before) = (System.now(), System.wall());
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn moments_before_the_start_of_the_host_can_be_named() {
+fn instants_before_host_start_are_representable() {
     let now = clock::now();
     let earlier = now.checked_sub(Duration::from_hours(24));
     assert!(earlier.is_some_and(|earlier| now - earlier == Duration::from_hours(24)));
--- a/crates/link/tests/handshake.rs
+++ b/crates/link/tests/handshake.rs
@@ -91,7 +91,7 @@
 }
 
 #[tokio::test]
-async fn no_secret_at_all_lets_nobody_in() {
+async fn empty_secret_list_refuses_all_peers() {
     let none = with_secrets(&[]);
     let (dialed, accepted) = open(&none, &none).await;
     assert!(dialed.is_err() && accepted.is_err());
